--- a/box/box.go
+++ b/box/box.go
@@ -331,8 +331,8 @@
 	engines := engine.NewClient(allowed, p.pushback)
 	p.control = control.New(control.Options{
 		Replica: r, Spread: p.spread, Engines: engines.At,
-		Gone: p.directory.Gone, Meet: b.meet, Wanted: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettles: s.UpgradeSettles,
-		Counting: platform.NewEngines(allowed, p.pushback), Rests: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettles: s.DemandSettles, DisksOnly: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
+		TerminatedServers: p.directory.Gone, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
+		Counting: platform.NewEngines(allowed, p.pushback), Rests: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettles: s.DemandSettles, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
 		Records: b.records, Meters: b.meters, Log: b.log,
 	})
 	p.guard = keyed.New(state.ProcessID(self), r, b.pool, b.meters)
--- a/control/boxes.go
+++ b/control/boxes.go
@@ -21,9 +21,9 @@
 	}
 	c.noteVoters(status.Voters)
 	in := membership.Input{
-		Self: c.opts.Replica.ID(), Voters: status.Voters, Wanted: c.opts.Wanted, RepairAfter: c.opts.RepairAfter,
+		Self: c.opts.Replica.ID(), Voters: status.Voters, Wanted: c.opts.WantedVoters, RepairAfter: c.opts.RepairAfter,
 		Members: c.opts.Replica.View().Members, Silent: map[string]time.Duration{}, HoldsAll: status.Holding,
-		ReportAge: c.reportAges(), DisksOnly: c.opts.DisksOnly,
+		ReportAge: c.reportAges(), DisksOnly: c.opts.VotersNeedDisks,
 	}
 	now := c.opts.Replica.Now()
 	for id, at := range status.Heard {
@@ -83,14 +83,14 @@
 // meetSilent calls on listed boxes that are silent: after a restart such a box may
 // know only boxes that have forgotten the cluster, too.
 func (c *Controller) meetSilent(ctx context.Context) {
-	if c.opts.Meet == nil || time.Since(c.metAt) < meetEvery {
+	if c.opts.OpenSession == nil || time.Since(c.metAt) < meetEvery {
 		return
 	}
 	c.metAt = time.Now()
 	ages := c.reportAges()
 	for _, m := range c.opts.Replica.View().Members {
 		if age, ok := ages[state.MemberID(m)]; !ok || age > meetAfter {
-			go c.opts.Meet(ctx, m.Box)
+			go c.opts.OpenSession(ctx, m.Box)
 		}
 	}
 }
--- a/control/control.go
+++ b/control/control.go
@@ -90,20 +90,20 @@
 	OrderPause time.Duration
 	// DemandSettles is how long a new leader waits for demand to be reported.
 	DemandSettles time.Duration
-	// DisksOnly keeps boxes without a disk from voting.
-	DisksOnly bool
+	// VotersNeedDisks keeps boxes without a disk from voting.
+	VotersNeedDisks bool
 	// NeverLeads: this box does not vote, so that there is nothing that it would have to know when it leads.
-	NeverLeads bool
-	Gone       func() map[string]bool
-	// Meet opens a session to a box; nil where boxes find the cluster by themselves.
-	Meet        func(ctx context.Context, box string)
-	Wanted      int // voters
-	RepairAfter time.Duration
-	// UpgradeSettles is how long all boxes know a level before it is raised to.
-	UpgradeSettles time.Duration
-	Records        *record.Book
-	Meters         *meter.Meters
-	Log            *zap.Logger
+	NeverLeads        bool
+	TerminatedServers func() map[string]bool
+	// OpenSession opens a session to a box; nil where boxes find the cluster by themselves.
+	OpenSession  func(ctx context.Context, box string)
+	WantedVoters int // voters
+	RepairAfter  time.Duration
+	// UpgradeSettleTime is how long all boxes know a level before it is raised to.
+	UpgradeSettleTime time.Duration
+	Records           *record.Book
+	Meters            *meter.Meters
+	Log               *zap.Logger
 }
 
 // Controller acts while its box leads.
--- a/control/decide.go
+++ b/control/decide.go
@@ -18,7 +18,7 @@
 
 func (c *Controller) down(view *state.State) map[string]bool {
 	down := map[string]bool{}
-	gone := c.opts.Gone()
+	gone := c.opts.TerminatedServers()
 	for _, s := range view.AllServers() {
 		name := s.Name
 		if s.Pool != "" {
--- a/control/levels.go
+++ b/control/levels.go
@@ -25,7 +25,7 @@
 	if c.knownSince.IsZero() {
 		c.knownSince = now
 	}
-	if view.Version != nil && now.Sub(c.knownSince) < c.opts.UpgradeSettles {
+	if view.Version != nil && now.Sub(c.knownSince) < c.opts.UpgradeSettleTime {
 		return
 	}
 	began := time.Now()
