--- a/admin/admin.go
+++ b/admin/admin.go
@@ -52,7 +52,7 @@
 	Records *record.Book
 	Meters  *meter.Meters
 	// Standing returns what this box knows of a workspace's quota; nil where it serves none.
-	Standing func(rate.Key) (rate.Standing, bool)
+	Standing func(rate.Key) (rate.LimitStatus, bool)
 	// Pushback is what servers said to this box of themselves; nil where it sends no requests.
 	Pushback *pushback.Registry
 }
@@ -250,8 +250,8 @@
 	// Evacuations are the data halls whose servers get nothing.
 	Evacuations []EvacuationRow `json:"evacuations,omitempty"`
 	// Asked is the box that was asked, and Said what backend servers said to it of their rest or end.
-	Asked string         `json:"asked,omitempty"`
-	Said  []pushback.Row `json:"said,omitempty"`
+	Asked string                  `json:"asked,omitempty"`
+	Said  []pushback.ServerStatus `json:"said,omitempty"`
 }
 
 func (a *Admin) read(ctx context.Context) (*wire.ReadResult, *reason.Reason) {
@@ -300,7 +300,7 @@
 		a.refuse(w, reason.Busy, nil)
 		return
 	}
-	s.Asked, s.Said = a.opts.Box, a.opts.Pushback.Rows()
+	s.Asked, s.Said = a.opts.Box, a.opts.Pushback.Statuses()
 	a.reply(w, http.StatusOK, s)
 }
 
--- a/admin/servers.go
+++ b/admin/servers.go
@@ -8,7 +8,7 @@
 // explainServer says what a backend server said of itself in its answers, and whether requests of this box are kept from
 // it for that; nil where it said nothing.
 func (a *Admin) explainServer(server string) (lines []string) {
-	for _, row := range a.opts.Pushback.Rows() {
+	for _, row := range a.opts.Pushback.Statuses() {
 		if row.Server == server {
 			lines = append(lines, row.Lines()...)
 		}
@@ -23,7 +23,7 @@
 	}
 	const mostUrgent = 0
 	if block, blocked := a.opts.Pushback.Blocked(server, mostUrgent); blocked {
-		lines = append(lines, fmt.Sprintf("%s: this box sends it no request, not even the most urgent, for %v yet", block.Why.Code, block.After.Round(time.Millisecond)))
+		lines = append(lines, fmt.Sprintf("%s: this box sends it no request, not even the most urgent, for %v yet", block.Reason.Code, block.RetryAfter.Round(time.Millisecond)))
 	}
 	return lines
 }
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -15,7 +15,7 @@
 	if f == nil {
 		return nil
 	}
-	w := f.Workspaces.Named(name)
+	w := f.Workspaces.ByName(name)
 	if w == nil {
 		return nil
 	}
@@ -34,16 +34,16 @@
 	return append(lines, standingLine(w, a.opts.Standing))
 }
 
-func standingLine(w *workspace.Workspace, of func(rate.Key) (rate.Standing, bool)) string {
+func standingLine(w *workspace.Workspace, of func(rate.Key) (rate.LimitStatus, bool)) string {
 	s, served := of(rate.Key{Name: w.Name})
 	if !served {
 		return "not served by this box lately"
 	}
 	line := fmt.Sprintf("this box: asked for %.0f %s a second, may spend %.0f now", s.Demand, w.Quota.Unit, s.Balance)
 	switch {
-	case s.Alone:
+	case s.Isolated:
 		line += "; no box answers it, so it has its own part only"
-	case s.Spent:
+	case s.Exhausted:
 		line += "; the quota is used"
 	}
 	return line
--- a/bench/keys_test.go
+++ b/bench/keys_test.go
@@ -27,14 +27,14 @@
 	}
 	key := workspace.NewKey()
 	list[0].Keys = append(list[0].Keys, workspace.DigestOf(key))
-	book, _ := workspace.NewBook(list)
+	book, _ := workspace.NewRegistry(list)
 	shown := []string{key}
 	for b.Loop() {
 		least := time.Duration(1<<63 - 1)
 		for range lookUpRounds {
 			began := time.Now()
 			for range lookUps {
-				if _, ok := book.Admit(shown, false); !ok {
+				if _, ok := book.Authorize(shown, false); !ok {
 					b.Fatal("the key is not known")
 				}
 			}
--- a/box/box.go
+++ b/box/box.go
@@ -322,10 +322,10 @@
 	})
 	allowed := func() bool { _, held := r.Lease(); return held }
 	p.limits = newQuotas(leased{servers: true, since: level.ServerLimits, window: serverWindow}, self, r, p.spread, b.pool)
-	p.throttle = throttle.New(throttle.Options{Limiter: p.limits.limiter, View: r.View, Tell: p.tellLimit, Meters: b.meters, Log: b.log})
+	p.throttle = throttle.New(throttle.Options{Limiter: p.limits.limiter, View: r.View, ReportLimit: p.tellLimit, Meters: b.meters, Log: b.log})
 	p.drains = newDrains(p, b.log)
 	p.pushback = pushback.New(pushback.Options{
-		Now: clock.New().Now, Throttle: p.throttle, Boxes: func() int { return len(r.View().Members) }, Drains: p.drains.add, Log: b.log,
+		Now: clock.New().Now, Throttle: p.throttle, Boxes: func() int { return len(r.View().Members) }, OnDraining: p.drains.add, Log: b.log,
 	})
 	p.directory.Heed(p.pushback)
 	engines := engine.NewClient(allowed, p.pushback)
@@ -346,7 +346,7 @@
 	p.platform = platform.Control(&platformCluster{b, p})
 	p.admin = admin.New(admin.Options{
 		Box: s.Box, Cluster: &forwarder{b, p}, View: r.View, Ready: b.ready, Records: b.records, Meters: b.meters,
-		Standing: p.quotas.limiter.Standing, Pushback: p.pushback,
+		Standing: p.quotas.limiter.Status, Pushback: p.pushback,
 	})
 	return p, nil
 }
--- a/box/platform.go
+++ b/box/platform.go
@@ -101,7 +101,7 @@
 		if p.replica.View().Level < level.ServerRests {
 			continue
 		}
-		for server, left := range p.pushback.LongRests() {
+		for server, left := range p.pushback.LongBackoffs() {
 			select {
 			case p.notices <- gateway.Notice{Resting: server, Rests: left}:
 			default: // told again while it lasts
--- a/box/quotas.go
+++ b/box/quotas.go
@@ -73,37 +73,37 @@
 func (q *quotas) answer(box string, call *wire.QuotaCall) *wire.QuotaAnswer {
 	view := q.replica.View()
 	_, leads := q.replica.Lease()
-	lead := rate.Lead{Leads: leads, Boxes: len(view.Members)}
+	lead := rate.Leadership{IsLeader: leads, Boxes: len(view.Members)}
 	if leads {
 		lead.Term = q.replica.Status().Term
 	}
-	asks := make([]rate.Asked, 0, len(call.Asks))
+	asks := make([]rate.LimitRequest, 0, len(call.Asks))
 	for _, a := range call.Asks {
-		asks = append(asks, rate.Asked{
+		asks = append(asks, rate.LimitRequest{
 			Key: rate.Key{Name: a.Workspace, Rank: int(a.Rank)}, PerSecond: dialect.Limit(a.MilliLimit).PerSecond(),
-			Ask: rate.Ask{Need: a.Need, Least: a.Least, Ahead: a.Ahead, Unused: a.Unused},
+			LeaseRequest: rate.LeaseRequest{Pending: a.Need, SmallestPending: a.Least, Prefetch: a.Ahead, Unused: a.Unused},
 		})
 	}
 	limitOf := quotaLimits(view)
 	if q.of.servers {
 		limitOf = serverLimits(view)
 	}
-	answer := q.lessor.Answer(box, call.Epoch, lead, limitOf, asks)
+	answer := q.lessor.Lease(box, call.Epoch, lead, limitOf, asks)
 	out := &wire.QuotaAnswer{Epoch: answer.Epoch}
-	for _, g := range answer.Rows {
-		after := min(max(g.After.Milliseconds(), 0), math.MaxUint32)
+	for _, g := range answer.Grants {
+		after := min(max(g.RetryAfter.Milliseconds(), 0), math.MaxUint32)
 		out.Grants = append(out.Grants, &wire.QuotaGrant{Workspace: g.Name, Rank: uint32(g.Rank), Leased: g.Leased, AfterMs: uint32(after)})
 	}
 	return out
 }
 
 // quotaLimits tells what workspaces are bounded by.
-func quotaLimits(view *state.State) func(rate.Asked) (rate.Limit, bool) {
-	return func(a rate.Asked) (rate.Limit, bool) {
+func quotaLimits(view *state.State) func(rate.LimitRequest) (rate.Limit, bool) {
+	return func(a rate.LimitRequest) (rate.Limit, bool) {
 		if view.Fleet == nil {
 			return rate.Limit{}, false
 		}
-		w := view.Fleet.Workspaces.Named(a.Name)
+		w := view.Fleet.Workspaces.ByName(a.Name)
 		if w == nil {
 			return rate.Limit{}, false
 		}
@@ -112,9 +112,9 @@
 }
 
 // serverLimits tells what servers are bounded by: as agreed, else as the box that asks was told.
-func serverLimits(view *state.State) func(rate.Asked) (rate.Limit, bool) {
-	return func(a rate.Asked) (rate.Limit, bool) {
-		if agreed := throttle.Both(view.LimitOf(a.Name), view.WarmUpLimit(a.Name)); agreed.Bounded() {
+func serverLimits(view *state.State) func(rate.LimitRequest) (rate.Limit, bool) {
+	return func(a rate.LimitRequest) (rate.Limit, bool) {
+		if agreed := throttle.EffectiveLimit(view.LimitOf(a.Name), view.WarmUpLimit(a.Name)); agreed.Bounded() {
 			return agreed, true
 		}
 		told := throttle.LimitOf(dialect.LimitOf(a.PerSecond))
@@ -123,10 +123,10 @@
 }
 
 // lease asks the leader, or else another box. It implements rate.Options.Lease.
-func (q *quotas) lease(ctx context.Context, epoch string, asks []rate.Asked) (rate.Answer, error) {
+func (q *quotas) lease(ctx context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
 	call := &wire.QuotaCall{Epoch: epoch, Servers: q.of.servers}
 	for _, a := range asks {
-		ask := &wire.QuotaAsk{Workspace: a.Name, Rank: uint32(a.Rank), Need: a.Need, Least: a.Least, Ahead: a.Ahead, Unused: a.Unused}
+		ask := &wire.QuotaAsk{Workspace: a.Name, Rank: uint32(a.Rank), Need: a.Pending, Least: a.SmallestPending, Ahead: a.Prefetch, Unused: a.Unused}
 		if q.of.servers {
 			ask.MilliLimit = uint32(dialect.LimitOf(a.PerSecond))
 		}
@@ -144,16 +144,16 @@
 		q.mu.Lock()
 		defer q.mu.Unlock()
 		q.failed[box] = q.now()
-		return rate.Answer{}, Error.Wrap(err)
+		return rate.LeaseResponse{}, Error.Wrap(err)
 	}
 	return answerOf(response.GetQuota()), nil
 }
 
-func answerOf(a *wire.QuotaAnswer) rate.Answer {
-	out := rate.Answer{Epoch: a.Epoch}
+func answerOf(a *wire.QuotaAnswer) rate.LeaseResponse {
+	out := rate.LeaseResponse{Epoch: a.Epoch}
 	for _, g := range a.Grants {
-		grant := rate.Grant{Leased: g.Leased, After: time.Duration(g.AfterMs) * time.Millisecond}
-		out.Rows = append(out.Rows, rate.Granted{Key: rate.Key{Name: g.Workspace, Rank: int(g.Rank)}, Grant: grant})
+		grant := rate.Grant{Leased: g.Leased, RetryAfter: time.Duration(g.AfterMs) * time.Millisecond}
+		out.Grants = append(out.Grants, rate.LimitGrant{Key: rate.Key{Name: g.Workspace, Rank: int(g.Rank)}, Grant: grant})
 	}
 	return out
 }
--- a/command/key.go
+++ b/command/key.go
@@ -36,6 +36,6 @@
 func (c *keyCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	key := workspace.NewKey()
 	d := workspace.DigestOf(key)
-	c.p.print(&keyResult{key, d.Line(), d.String()})
+	c.p.print(&keyResult{key, d.Encode(), d.String()})
 	return ExitOK
 }
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -94,5 +94,5 @@
 	if inErr != nil && outErr != nil {
 		return workspace.Usage{}
 	}
-	return workspace.UsageOf(in, out)
+	return workspace.NewUsage(in, out)
 }
--- a/entry/access_test.go
+++ b/entry/access_test.go
@@ -60,15 +60,15 @@
 
 func TestWhatAChatRequestWeighs(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(usageOf(called("/", http.Header{"X-Prompt-Tokens": {"100"}}), 50)).To(Equal(workspace.Usage{Tokens: 150, Told: true}))
-	g.Expect(usageOf(called("/", http.Header{}), 50)).To(Equal(workspace.Usage{Tokens: 50, Told: true}))
-	g.Expect(usageOf(called("/", http.Header{"X-Max-Tokens": {"7"}}), 50)).To(Equal(workspace.Usage{Tokens: 7, Told: true}))
+	g.Expect(usageOf(called("/", http.Header{"X-Prompt-Tokens": {"100"}}), 50)).To(Equal(workspace.Usage{Tokens: 150, Known: true}))
+	g.Expect(usageOf(called("/", http.Header{}), 50)).To(Equal(workspace.Usage{Tokens: 50, Known: true}))
+	g.Expect(usageOf(called("/", http.Header{"X-Max-Tokens": {"7"}}), 50)).To(Equal(workspace.Usage{Tokens: 7, Known: true}))
 	g.Expect(usageOf(called("/", http.Header{}), 0)).To(Equal(workspace.Usage{}))
 }
 
 func TestWhatCallersAreToldOfAQuota(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(refusedByQuota(&rate.Refusal{Spent: true}).why).To(Equal(reason.OverQuota))
-	g.Expect(refusedByQuota(&rate.Refusal{Spent: true, TooLarge: true}).why).To(Equal(reason.BeyondQuota))
+	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true}).why).To(Equal(reason.OverQuota))
+	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true, TooLarge: true}).why).To(Equal(reason.BeyondQuota))
 	g.Expect(refusedByQuota(&rate.Refusal{}).why).To(Equal(reason.QuotaUnsure))
 }
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -116,7 +116,7 @@
 	if a.table, why = e.usable(); why != nil {
 		return why
 	}
-	owner, ok := e.opts.View().Fleet.Workspaces.Admit(keysOf(r), false)
+	owner, ok := e.opts.View().Fleet.Workspaces.Authorize(keysOf(r), false)
 	if !ok {
 		return reason.NoAccess
 	}
@@ -162,7 +162,7 @@
 		e.refuse(w, requestID(r), why, "")
 		return
 	}
-	if _, ok := e.opts.View().Fleet.Workspaces.Admit(keysOf(r), false); !ok {
+	if _, ok := e.opts.View().Fleet.Workspaces.Authorize(keysOf(r), false); !ok {
 		e.refuse(w, requestID(r), reason.NoAccess, "")
 		return
 	}
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -70,15 +70,17 @@
 func (l *limitedBoxes) box(t *testing.T, name string, lessor *rate.Lessor, boxes int, st *state.State) *httptest.Server {
 	limiter := rate.NewLimiter(rate.Options{
 		Now: clock.New().Now, Window: 4 * time.Second, Boxes: func() int { return boxes },
-		Lease: func(_ context.Context, epoch string, asks []rate.Asked) (rate.Answer, error) {
-			limitOf := func(a rate.Asked) (rate.Limit, bool) { return throttle.LimitOf(dialect.LimitOf(a.PerSecond)), true }
-			return lessor.Answer(name, epoch, rate.Lead{Leads: true, Term: 1, Boxes: boxes}, limitOf, asks), nil
+		Lease: func(_ context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
+			limitOf := func(a rate.LimitRequest) (rate.Limit, bool) {
+				return throttle.LimitOf(dialect.LimitOf(a.PerSecond)), true
+			}
+			return lessor.Lease(name, epoch, rate.Leadership{IsLeader: true, Term: 1, Boxes: boxes}, limitOf, asks), nil
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go limiter.Run(ctx)
-	limits := throttle.New(throttle.Options{Limiter: limiter, View: l.agreed.view.Load, Tell: l.tell, Meters: meter.New(), Log: zap.NewNop()})
+	limits := throttle.New(throttle.Options{Limiter: limiter, View: l.agreed.view.Load, ReportLimit: l.tell, Meters: meter.New(), Log: zap.NewNop()})
 	d := route.NewDirectory("a")
 	said := pushback.New(pushback.Options{Now: clock.New().Now, Throttle: limits, Boxes: func() int { return boxes }, Log: zap.NewNop()})
 	d.Heed(said)
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -39,9 +39,9 @@
 			return b, nil
 		}
 		e.gate.Leave(b, j.ticket, 0)
-		j.takenAfter = block.After
+		j.takenAfter = block.RetryAfter
 		if ctx.Err() != nil {
-			return nil, block.Why
+			return nil, block.Reason
 		}
 	}
 }
@@ -51,8 +51,8 @@
 	why := reason.NoServer
 	for _, b := range j.target.Backends {
 		block, blocked := e.opts.Directory.Blocked(b, j.ticket.Rank)
-		if blocked && (why == reason.NoServer || block.After < j.takenAfter) {
-			why, j.takenAfter = block.Why, block.After
+		if blocked && (why == reason.NoServer || block.RetryAfter < j.takenAfter) {
+			why, j.takenAfter = block.Reason, block.RetryAfter
 		}
 	}
 	return why
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -17,10 +17,10 @@
 // does not tell.
 func usageOf(r *http.Request, most int) workspace.Usage {
 	told := dialect.Own.Usage(r.Header)
-	if most <= 0 || told.Told && r.Header.Get(dialect.Own.MaxTokens) != "" {
+	if most <= 0 || told.Known && r.Header.Get(dialect.Own.MaxTokens) != "" {
 		return told
 	}
-	return workspace.UsageOf(told.Tokens, float64(most))
+	return workspace.NewUsage(told.Tokens, float64(most))
 }
 
 // tryWithinQuota makes the attempts of a request that its workspace's quota admits. The weight of one that did not run is
@@ -31,7 +31,7 @@
 	}
 	charge, refusal := e.opts.Quotas.Take(ctx, rate.Key{Name: j.owner.Name}, j.owner.Quota.Limit(), j.owner.Quota.Weigh(j.usage))
 	if refusal != nil {
-		e.opts.Meters.CountWorkspace(j.owner.Name, workspace.ReasonOf(refusal).Code)
+		e.opts.Meters.CountWorkspace(j.owner.Name, workspace.RefusalReason(refusal).Code)
 		return refusedByQuota(refusal)
 	}
 	e.opts.Meters.CountWorkspace(j.owner.Name, meter.Borne)
@@ -43,10 +43,10 @@
 }
 
 func refusedByQuota(r *rate.Refusal) result {
-	why := workspace.ReasonOf(r)
+	why := workspace.RefusalReason(r)
 	if why != reason.OverQuota {
 		return result{why: why}
 	}
 	// Callers of one workspace come back apart from each other.
-	return result{why: why, after: r.After + time.Duration(rand.Int64N(int64(time.Second)))}
+	return result{why: why, after: r.RetryAfter + time.Duration(rand.Int64N(int64(time.Second)))}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -45,7 +45,7 @@
 	WarmsUp bool
 	Limits  Limits
 	// Workspaces are whom requests belong to, nil where nobody needs a key.
-	Workspaces *workspace.Book
+	Workspaces *workspace.Registry
 	kinds      map[string]*Kind
 }
 
@@ -245,10 +245,10 @@
 	parts := map[string]*conf.Part{}
 	for _, p := range r.doc.Parts(sectionWorkspace) {
 		w := &workspace.Workspace{Name: p.Name, Urgency: p.Int("urgency"), Quota: workspace.Quota{
-			Unit: workspace.Unit(p.String("unit")), Rate: p.Float("rate"), Burst: p.Float("burst"), Plain: p.Float("plain-tokens"),
+			Unit: workspace.Unit(p.String("unit")), Rate: p.Float("rate"), Burst: p.Float("burst"), DefaultTokens: p.Float("plain-tokens"),
 		}}
 		for i, text := range p.List("keys") {
-			d, err := workspace.ReadKey(text)
+			d, err := workspace.ParseKey(text)
 			if err != nil {
 				p.Fault("keys", fmt.Sprintf("key %d cannot be used: %v", i+1, err), "keys as `leverdrum key` makes them, or their digests")
 				continue
@@ -258,7 +258,7 @@
 		parts[p.Name] = p
 		list = append(list, w)
 	}
-	book, clashes := workspace.NewBook(list)
+	book, clashes := workspace.NewRegistry(list)
 	for _, c := range clashes {
 		parts[c.Second].Fault("keys", c.String(), "each key in one workspace")
 	}
--- a/fleet/redact.go
+++ b/fleet/redact.go
@@ -27,8 +27,8 @@
 	var pairs []string
 	for _, p := range conf.Read("fleet", text, Schema).Parts(sectionWorkspace) {
 		for _, key := range p.List("keys") {
-			if d, err := workspace.ReadKey(key); err == nil {
-				pairs = append(pairs, key, d.Line())
+			if d, err := workspace.ParseKey(key); err == nil {
+				pairs = append(pairs, key, d.Encode())
 			}
 		}
 	}
--- a/fleet/workspaces_test.go
+++ b/fleet/workspaces_test.go
@@ -30,12 +30,12 @@
 	f, err := fleet.Parse("f.ini", []byte(withKeys))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(f.Workspaces.All()).To(HaveLen(2))
-	w, ok := f.Workspaces.Admit([]string{plainKey}, false)
+	w, ok := f.Workspaces.Authorize([]string{plainKey}, false)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(w.Name).To(Equal("atelier"))
 	g.Expect(w.Urgency).To(Equal(1))
-	g.Expect(w.Quota).To(Equal(workspace.Quota{Unit: workspace.Tokens, Rate: 5000, Burst: 9000, Plain: 200}))
-	w, ok = f.Workspaces.Admit([]string{"cat"}, false) // the digest in the file is that of "cat"
+	g.Expect(w.Quota).To(Equal(workspace.Quota{Unit: workspace.Tokens, Rate: 5000, Burst: 9000, DefaultTokens: 200}))
+	w, ok = f.Workspaces.Authorize([]string{"cat"}, false) // the digest in the file is that of "cat"
 	g.Expect(ok).To(BeTrue())
 	g.Expect(w.Name).To(Equal("atelier"))
 }
@@ -67,7 +67,7 @@
 	f, err := fleet.Parse("f.ini", shown)
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, key := range []string{plainKey, "key-of-the-library", "cat"} {
-		_, ok := f.Workspaces.Admit([]string{key}, false)
+		_, ok := f.Workspaces.Authorize([]string{key}, false)
 		g.Expect(ok).To(BeTrue(), key)
 	}
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -96,7 +96,7 @@
 func (d *directory) usable(list []*server, now time.Time, w wish) []*server {
 	p, tried := w.prompt, w.tried
 	var good, poor, parting []*server
-	blocks := d.pushback.Any()
+	blocks := d.pushback.Active()
 	for _, s := range list {
 		since, leaves := s.parted(now)
 		switch {
@@ -134,7 +134,7 @@
 	switch {
 	case d.pushback.Limit(s.id) == 0:
 		return 0
-	case d.pushback.DueForTry(s.id):
+	case d.pushback.DueForProbe(s.id):
 		return math.Inf(-1)
 	}
 	return fullPenalty
@@ -159,7 +159,7 @@
 	}
 	_, loadA := a.load(now)
 	_, loadB := b.load(now)
-	if d.pushback.Any() {
+	if d.pushback.Active() {
 		loadA += d.limited(a) / fullPenalty
 		loadB += d.limited(b) / fullPenalty
 	}
@@ -190,7 +190,7 @@
 	source := mostKept(list, kept)
 	var best choice
 	least := 0.0
-	limits := d.pushback.Any()
+	limits := d.pushback.Active()
 	first := rand.IntN(len(list)) // (8)
 	for n := range list {
 		i := (first + n) % len(list)
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -150,7 +150,7 @@
 func (d *directory) sync(s *server, a *wire.Announcement) {
 	s.silent.Store(a.Silent)
 	s.evacuated.Store(d.view.Evacuated(a.Hall))
-	if since, drains := d.pushback.Drains(a.Id); drains {
+	if since, drains := d.pushback.Draining(a.Id); drains {
 		d.part(s, time.Now().Add(-since))
 	}
 	if since, leaves := d.leaving[a.Id]; leaves {
--- a/gateway/failed.go
+++ b/gateway/failed.go
@@ -99,7 +99,7 @@
 // something else speaks for it.
 func (j *job) noteDown(s *server, f *failure) {
 	now := time.Now()
-	j.g.opts.Pushback.NoteUnreached(s.id)
+	j.g.opts.Pushback.RecordUnreachable(s.id)
 	switch refused := errors.Is(f.cause, syscall.ECONNREFUSED); {
 	case refused && s.setDown(now):
 		j.g.notices.note(Notice{Refusing: s.id})
--- a/gateway/find.go
+++ b/gateway/find.go
@@ -44,7 +44,7 @@
 			}
 			continue
 		}
-		if first, all := j.allBlocked(list); all && !j.comesWithin(first.After) {
+		if first, all := j.allBlocked(list); all && !j.comesWithin(first.RetryAfter) {
 			if why := j.waitForServer(ctx, first); why != nil {
 				return choice{}, why
 			}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -172,7 +172,7 @@
 		g.refuseUnsent(w, r, t, why)
 		return
 	}
-	owner, ok := t.fleet.Workspaces.Admit(r.Header.Values(g.opts.Dialect.Key), route.Public)
+	owner, ok := t.fleet.Workspaces.Authorize(r.Header.Values(g.opts.Dialect.Key), route.Public)
 	if !ok {
 		g.refuseUnsent(w, r, t, reason.NoAccess)
 		return
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -37,7 +37,7 @@
 // allBlocked reports whether all servers that stay and take connections are at their limits or rest, and which of them takes
 // a request first.
 func (j *job) allBlocked(list []*server) (first pushback.Block, all bool) {
-	if !j.g.opts.Pushback.Any() {
+	if !j.g.opts.Pushback.Active() {
 		return first, false
 	}
 	now := time.Now()
@@ -49,7 +49,7 @@
 		if !blocked {
 			return first, false
 		}
-		if !all || block.After < first.After {
+		if !all || block.RetryAfter < first.RetryAfter {
 			first, all = block, true
 		}
 	}
@@ -66,8 +66,8 @@
 	if !all {
 		return nil, false
 	}
-	j.after = first.After
-	return first.Why, true
+	j.after = first.RetryAfter
+	return first.Reason, true
 }
 
 // resumeLook is the time between two looks for a server that goes on with a stream.
@@ -76,12 +76,12 @@
 // waitForServer refuses a request that no server takes now. A stream that was begun waits: to break it off would lose what
 // its caller has.
 func (j *job) waitForServer(ctx context.Context, first pushback.Block) *reason.Reason {
-	j.after = first.After
-	if !j.headed || j.left() < minLeftForModel || first.After > j.left() {
-		return first.Why
+	j.after = first.RetryAfter
+	if !j.headed || j.left() < minLeftForModel || first.RetryAfter > j.left() {
+		return first.Reason
 	}
-	if !wait.For(ctx, min(first.After, resumeLook)) {
-		return first.Why
+	if !wait.For(ctx, min(first.RetryAfter, resumeLook)) {
+		return first.Reason
 	}
 	return nil
 }
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -27,9 +27,9 @@
 		j.g.opts.Meters.CountWorkspace(j.owner.Name, meter.Borne)
 		return charge, nil
 	}
-	j.behind = milliseconds(spreadAfter(refusal.After))
+	j.behind = milliseconds(spreadAfter(refusal.RetryAfter))
 	j.refusal = refusal
-	why := workspace.ReasonOf(refusal)
+	why := workspace.RefusalReason(refusal)
 	if j.r.Context().Err() == nil { // else the caller left while it waited
 		j.g.opts.Meters.CountWorkspace(j.owner.Name, why.Code)
 	}
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -18,14 +18,14 @@
 var errNobody = errors.New("no box answers")
 
 // limited is a limiter whose only allocator is that of a lessor in this process; nil is a box that is alone.
-func limited(t *testing.T, lessor *rate.Lessor, book func() *workspace.Book) *rate.Limiter {
+func limited(t *testing.T, lessor *rate.Lessor, book func() *workspace.Registry) *rate.Limiter {
 	l := rate.NewLimiter(rate.Options{
 		Now: clock.New().Now, Window: 8 * time.Second, Boxes: func() int { return 1000 },
-		Lease: func(_ context.Context, epoch string, asks []rate.Asked) (rate.Answer, error) {
+		Lease: func(_ context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
 			if lessor == nil {
-				return rate.Answer{}, errNobody
+				return rate.LeaseResponse{}, errNobody
 			}
-			return lessor.Answer("box", epoch, rate.Lead{Leads: true, Term: 1, Boxes: 1}, limitsOf(book()), asks), nil
+			return lessor.Lease("box", epoch, rate.Leadership{IsLeader: true, Term: 1, Boxes: 1}, limitsOf(book()), asks), nil
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -35,9 +35,9 @@
 }
 
 // limitsOf tells the limits of a book's workspaces.
-func limitsOf(book *workspace.Book) func(rate.Asked) (rate.Limit, bool) {
-	return func(a rate.Asked) (rate.Limit, bool) {
-		w := book.Named(a.Name)
+func limitsOf(book *workspace.Registry) func(rate.LimitRequest) (rate.Limit, bool) {
+	return func(a rate.LimitRequest) (rate.Limit, bool) {
+		w := book.ByName(a.Name)
 		if w == nil {
 			return rate.Limit{}, false
 		}
@@ -52,7 +52,7 @@
 	if !alone {
 		lessor = rate.NewLessor("p", clock.New().Now)
 	}
-	quotas := limited(t, lessor, func() *workspace.Book { return s.view.Fleet.Workspaces })
+	quotas := limited(t, lessor, func() *workspace.Registry { return s.view.Fleet.Workspaces })
 	s = newLimitedSetup(t, quotas, 5*time.Second, newBackend(t, "i1", ok))
 	s.withWorkspaces(&workspace.Workspace{Name: "atelier", Keys: []workspace.Digest{workspace.DigestOf(keyOfAtelier)}, Quota: q})
 	return s
--- a/gateway/workspaces_test.go
+++ b/gateway/workspaces_test.go
@@ -25,7 +25,7 @@
 			{Name: "library", Keys: []workspace.Digest{workspace.DigestOf(keyOfLibrary)}, Urgency: 1},
 		}
 	}
-	book, clashes := workspace.NewBook(list)
+	book, clashes := workspace.NewRegistry(list)
 	if len(clashes) > 0 {
 		s.t.Fatal(clashes)
 	}
--- a/pushback/pushback.go
+++ b/pushback/pushback.go
@@ -41,9 +41,9 @@
 	maxRankSteps = 3
 	// probeEvery is the time between two requests to a server that has not answered one since its rest (3).
 	probeEvery = 250 * time.Millisecond
-	// LongRest is the time from which a server that asks for rest, at once or again and again, is room that is missing: other
+	// LongBackoff is the time from which a server that asks for rest, at once or again and again, is room that is missing: other
 	// copies of its models are worth a move then.
-	LongRest = 10 * time.Second
+	LongBackoff = 10 * time.Second
 	// maxGap is the longest time between two rests that count as one: a box with few requests asks the server rarely.
 	maxGap = 5 * time.Second
 	// maxRecords bounds the servers that are remembered; those whose rest ended longer than keepFor ago go then.
@@ -58,8 +58,8 @@
 	Throttle *throttle.Throttle
 	// Boxes returns how many boxes there are.
 	Boxes func() int
-	// Drains is called once for each server that says that it drains; nil where nobody is to hear. It must not block.
-	Drains func(server string)
+	// OnDraining is called once for each server that says that it drains; nil where nobody is to hear. It must not block.
+	OnDraining func(server string)
 	// Random draws from [0, 1); nil: a source of its own.
 	Random func() float64
 	Log    *zap.Logger
@@ -91,8 +91,8 @@
 
 // Block tells why a server takes no request now, and for how long yet.
 type Block struct {
-	Why   *reason.Reason
-	After time.Duration
+	Reason     *reason.Reason
+	RetryAfter time.Duration
 }
 
 // New returns a Registry.
@@ -108,13 +108,13 @@
 	if r == nil {
 		return
 	}
-	r.opts.Throttle.Note(server, said)
+	r.opts.Throttle.RecordReport(server, said)
 	says := said.Rest > 0 || said.Draining || said.RestErr != nil || said.DrainingErr != nil
 	if !says && !r.some.Load() {
 		return
 	}
-	if r.observe(server, request, said, says) && r.opts.Drains != nil {
-		r.opts.Drains(server)
+	if r.observe(server, request, said, says) && r.opts.OnDraining != nil {
+		r.opts.OnDraining(server)
 	}
 }
 
@@ -207,9 +207,9 @@
 	delete(r.records, server)
 }
 
-// Any reports whether some server may be blocked: if not, none need be looked up.
-func (r *Registry) Any() bool {
-	return r != nil && (r.some.Load() || r.opts.Throttle.Any())
+// Active reports whether some server may be blocked: if not, none need be looked up.
+func (r *Registry) Active() bool {
+	return r != nil && (r.some.Load() || r.opts.Throttle.Active())
 }
 
 // Blocked reports whether a request of a rank must not go to a server now.
@@ -220,7 +220,7 @@
 	if after, resting := r.resting(server, rank); resting {
 		return Block{reason.ServersResting, after}, true
 	}
-	if after, full := r.opts.Throttle.Full(server, rank); full {
+	if after, full := r.opts.Throttle.Exhausted(server, rank); full {
 		return Block{reason.ServersLimited, after}, true
 	}
 	return Block{}, false
@@ -282,7 +282,7 @@
 	charge, refusal := r.opts.Throttle.Take(ctx, server, rank)
 	if refusal != nil {
 		p.Release()
-		return Permit{}, &Block{reason.ServersLimited, refusal.After}
+		return Permit{}, &Block{reason.ServersLimited, refusal.RetryAfter}
 	}
 	p.charge = charge
 	return p, nil
@@ -319,8 +319,8 @@
 	return rec == nil || now >= rec.restsUntil
 }
 
-// Drains reports whether a server said that it drains, and how long ago it did so first (4).
-func (r *Registry) Drains(server string) (since time.Duration, drains bool) {
+// Draining reports whether a server said that it drains, and how long ago it did so first (4).
+func (r *Registry) Draining(server string) (since time.Duration, drains bool) {
 	if r == nil || !r.some.Load() {
 		return 0, false
 	}
@@ -342,12 +342,12 @@
 	return r.opts.Throttle.Limit(server)
 }
 
-// NoteUnreached records that no connection to a server could be opened: it may be starting again.
-func (r *Registry) NoteUnreached(server string) {
+// RecordUnreachable records that no connection to a server could be opened: it may be starting again.
+func (r *Registry) RecordUnreachable(server string) {
 	if r != nil {
-		r.opts.Throttle.NoteUnreached(server)
+		r.opts.Throttle.RecordUnreachable(server)
 	}
 }
 
-// DueForTry reports whether a server with a limit is to be tried now though others are preferred.
-func (r *Registry) DueForTry(server string) bool { return r.opts.Throttle.DueForTry(server) }
+// DueForProbe reports whether a server with a limit is to be tried now though others are preferred.
+func (r *Registry) DueForProbe(server string) bool { return r.opts.Throttle.DueForProbe(server) }
--- a/pushback/pushback_test.go
+++ b/pushback/pushback_test.go
@@ -29,7 +29,7 @@
 	w := &world{now: time.Hour, boxes: boxes, lines: lines}
 	w.Registry = New(Options{
 		Now: func() time.Duration { return w.now }, Boxes: func() int { return w.boxes },
-		Drains: func(server string) { w.drains = append(w.drains, server) }, Log: zap.New(core),
+		OnDraining: func(server string) { w.drains = append(w.drains, server) }, Log: zap.New(core),
 	})
 	return w
 }
@@ -54,9 +54,9 @@
 func TestOfTwoRestsTheLaterEndHolds(t *testing.T) {
 	g := NewWithT(t)
 	w := newWorld(1)
-	g.Expect(w.Any()).To(BeFalse())
+	g.Expect(w.Active()).To(BeFalse())
 	w.turnedAway("s", "3")
-	g.Expect(w.Any()).To(BeTrue())
+	g.Expect(w.Active()).To(BeTrue())
 	w.turnedAway("s", "0.5")
 	w.answer("s", http.StatusOK)
 	w.now += 2900 * time.Millisecond
@@ -80,7 +80,7 @@
 	w.turnedAway("s", "1")
 	block, blocked := w.Blocked("s", 2)
 	g.Expect(blocked).To(BeTrue())
-	g.Expect(block.Why).To(Equal(reason.ServersResting))
+	g.Expect(block.Reason).To(Equal(reason.ServersResting))
 	w.now += time.Second + spreadPerBox
 	g.Expect(w.may("s", 0)).To(BeTrue())
 	g.Expect(w.may("s", 2)).To(BeFalse())
@@ -91,7 +91,7 @@
 	g.Expect(refused).To(BeNil())
 	_, refused = w.Acquire(context.Background(), "s", 0)
 	g.Expect(refused).NotTo(BeNil(), "one at a time")
-	g.Expect(refused.After).To(BeNumerically("<=", probeEvery))
+	g.Expect(refused.RetryAfter).To(BeNumerically("<=", probeEvery))
 	permit.Release()
 	_, refused = w.Acquire(context.Background(), "s", 0)
 	g.Expect(refused).To(BeNil(), "the one before was not sent")
@@ -113,14 +113,14 @@
 		w.turnedAway("s", "3")
 		w.now += 3200 * time.Millisecond
 	}
-	g.Expect(w.LongRests()).To(BeEmpty(), "it is over")
+	g.Expect(w.LongBackoffs()).To(BeEmpty(), "it is over")
 	w.turnedAway("s", "3")
-	g.Expect(w.LongRests()).To(HaveKeyWithValue("s", 3*time.Second))
+	g.Expect(w.LongBackoffs()).To(HaveKeyWithValue("s", 3*time.Second))
 	w.now += time.Hour
 	w.turnedAway("s", "3")
-	g.Expect(w.LongRests()).To(BeEmpty())
+	g.Expect(w.LongBackoffs()).To(BeEmpty())
 	w.turnedAway("s", "11")
-	g.Expect(w.LongRests()).To(HaveKey("s"))
+	g.Expect(w.LongBackoffs()).To(HaveKey("s"))
 }
 
 func TestDrainingHoldsForALifeOrATime(t *testing.T) {
@@ -131,13 +131,13 @@
 	w.answer("name", http.StatusOK, "X-Server-Draining", "1")
 	g.Expect(w.drains).To(Equal([]string{"life", "name"}), "told once")
 	w.now += time.Second
-	since, drains := w.Drains("life")
+	since, drains := w.Draining("life")
 	g.Expect(drains).To(BeTrue())
 	g.Expect(since).To(Equal(time.Second))
 	w.now += dialect.Own.DrainTTL
-	_, drains = w.Drains("life")
+	_, drains = w.Draining("life")
 	g.Expect(drains).To(BeTrue())
-	_, drains = w.Drains("name")
+	_, drains = w.Draining("name")
 	g.Expect(drains).To(BeFalse())
 	w.turnedAway("name", "100")
 	w.Forget("name")
@@ -157,8 +157,8 @@
 	w.turnedAway("s", "1e300")
 	w.now += 24 * time.Hour
 	g.Expect(w.Sendable("s")).To(BeFalse())
-	g.Expect(w.Rows()).To(HaveLen(1))
-	g.Expect(w.Rows()[0].Lines()).To(HaveLen(1))
+	g.Expect(w.Statuses()).To(HaveLen(1))
+	g.Expect(w.Statuses()[0].Lines()).To(HaveLen(1))
 }
 
 func TestRecordsAreBounded(t *testing.T) {
--- a/pushback/sim_test.go
+++ b/pushback/sim_test.go
@@ -123,8 +123,8 @@
 		block, blocked := b.Blocked(v.name, rank)
 		if !blocked || !s.heeds {
 			open = append(open, v)
-		} else if first < 0 || block.After < first {
-			first = block.After
+		} else if first < 0 || block.RetryAfter < first {
+			first = block.RetryAfter
 		}
 	}
 	if len(open) == 0 || left == 0 { // at once
@@ -289,7 +289,7 @@
 	for _, server := range []string{"a", "b"} {
 		_, block := w.Acquire(context.Background(), server, 0)
 		g.Expect(block).NotTo(BeNil())
-		g.Expect(block.Why).To(Equal(reason.ServersResting))
-		g.Expect(block.After).To(BeNumerically("<=", 2*time.Second+10*spreadPerBox))
+		g.Expect(block.Reason).To(Equal(reason.ServersResting))
+		g.Expect(block.RetryAfter).To(BeNumerically("<=", 2*time.Second+10*spreadPerBox))
 	}
 }
--- a/rate/allocator.go
+++ b/rate/allocator.go
@@ -32,19 +32,19 @@
 // Bounded reports whether there is a limit.
 func (l Limit) Bounded() bool { return l.PerSecond > 0 }
 
-// Ask is what a box asks for of one limit.
-type Ask struct {
-	Need   float64 // by requests that wait for it
-	Least  float64 // by the smallest of these
-	Ahead  float64 // by those that are expected
-	Unused float64 // of leases of the same allocator that have ended
+// LeaseRequest is what a box asks for of one limit.
+type LeaseRequest struct {
+	Pending         float64 // by requests that wait for it
+	SmallestPending float64 // by the smallest of these
+	Prefetch        float64 // by those that are expected
+	Unused          float64 // of leases of the same allocator that have ended
 }
 
 // Grant answers an Ask.
 type Grant struct {
 	Leased float64
-	// After is when the smallest request that waits can be admitted, where nothing was leased.
-	After time.Duration
+	// RetryAfter is when the smallest request that waits can be admitted, where nothing was leased.
+	RetryAfter time.Duration
 }
 
 // bucket is the token bucket of one limit.
@@ -63,8 +63,8 @@
 func newAllocator() *allocator { return &allocator{buckets: map[string]*bucket{}} }
 
 // lease answers one ask, where the allocator has a share of the limit, from 0 to 1.
-func (a *allocator) lease(now time.Duration, key Key, limit Limit, share float64, ask Ask) Grant {
-	need, least, ahead := positive(ask.Need), positive(ask.Least), positive(ask.Ahead)
+func (a *allocator) lease(now time.Duration, key Key, limit Limit, share float64, ask LeaseRequest) Grant {
+	need, least, ahead := positive(ask.Pending), positive(ask.SmallestPending), positive(ask.Prefetch)
 	if !limit.Bounded() {
 		return Grant{Leased: need + ahead}
 	}
@@ -80,7 +80,7 @@
 	reserve := b.reserve(now, key.Rank)
 	if bearable := min(least+reserve, l.most()); need > 0 && b.level < bearable {
 		b.refuse(now, key.Rank, least)
-		return Grant{After: time.Duration((bearable - b.level) / l.PerSecond * float64(time.Second))}
+		return Grant{RetryAfter: time.Duration((bearable - b.level) / l.PerSecond * float64(time.Second))}
 	}
 	leased := min(need+ahead, max(b.level-reserve, min(least, need)))
 	b.level -= leased
--- a/rate/asking.go
+++ b/rate/asking.go
@@ -57,25 +57,25 @@
 }
 
 // answerAlone is the end of rule 4.
-func (l *Limiter) answerAlone(asks []Asked) Answer {
+func (l *Limiter) answerAlone(asks []LimitRequest) LeaseResponse {
 	now := l.opts.Now()
 	if now-l.ownAt > ownShareTTL {
 		l.own = newAllocator()
 	}
 	l.ownAt = now
-	answer := Answer{}
+	answer := LeaseResponse{}
 	for _, a := range asks {
 		if r := l.rows[a.Key]; r != nil {
 			a.Unused = 0
 			share := 1 / float64(max(1, l.opts.Boxes()))
-			answer.Rows = append(answer.Rows, Granted{a.Key, l.own.lease(now, a.Key, r.limit, share, a.Ask)})
+			answer.Grants = append(answer.Grants, LimitGrant{a.Key, l.own.lease(now, a.Key, r.limit, share, a.LeaseRequest)})
 		}
 	}
 	return answer
 }
 
 // collect lists what lacks. What was not spent is given back with it.
-func (l *Limiter) collect(now time.Duration) (epoch string, asks []Asked) {
+func (l *Limiter) collect(now time.Duration) (epoch string, asks []LimitRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, r := range l.rows {
@@ -85,30 +85,30 @@
 			continue
 		}
 		if ask, lacks := r.ask(now); lacks {
-			asks = append(asks, Asked{key, r.limit.PerSecond, ask})
+			asks = append(asks, LimitRequest{key, r.limit.PerSecond, ask})
 			r.unused = 0
 		}
 	}
 	return l.epoch, asks
 }
 
-func (r *row) ask(now time.Duration) (ask Ask, lacks bool) {
+func (r *row) ask(now time.Duration) (ask LeaseRequest, lacks bool) {
 	for _, x := range r.waiting {
-		ask.Need += x.weight
-		if ask.Least == 0 || x.weight < ask.Least {
-			ask.Least = x.weight
+		ask.Pending += x.weight
+		if ask.SmallestPending == 0 || x.weight < ask.SmallestPending {
+			ask.SmallestPending = x.weight
 		}
 	}
 	ask.Unused = r.unused
 	ahead, balance := r.ahead(now), r.balance(now)
 	if balance < lowWatermark*ahead && now >= r.spentUntil {
-		ask.Ahead = ahead - balance
+		ask.Prefetch = ahead - balance
 	}
-	return ask, ask.Need > 0 || ask.Ahead >= 1
+	return ask, ask.Pending > 0 || ask.Prefetch >= 1
 }
 
 // takeOver adds the leases of an answer. They count from before the question.
-func (l *Limiter) takeOver(answer Answer, asks []Asked, began time.Duration) {
+func (l *Limiter) takeOver(answer LeaseResponse, asks []LimitRequest, began time.Duration) {
 	if answer.Epoch != l.epoch {
 		l.epoch = answer.Epoch
 		for _, r := range l.rows {
@@ -116,7 +116,7 @@
 		}
 	}
 	grants := map[Key]Grant{}
-	for _, g := range answer.Rows {
+	for _, g := range answer.Grants {
 		grants[g.Key] = g.Grant
 	}
 	for _, a := range asks {
@@ -126,15 +126,15 @@
 		}
 		g, known := grants[a.Key]
 		if !known { // the leader knows no such limit
-			g.After = spentPause
+			g.RetryAfter = spentPause
 		}
-		r.take(g, a.Need, lease{positive(g.Leased), began + leaseLife, answer.Epoch}, l.opts.Now())
+		r.take(g, a.Pending, lease{positive(g.Leased), began + leaseLife, answer.Epoch}, l.opts.Now())
 		r.release()
 	}
 }
 
 func (r *row) take(g Grant, need float64, x lease, now time.Duration) {
-	after := min(max(g.After, 0), maxRetryAfter)
+	after := min(max(g.RetryAfter, 0), maxRetryAfter)
 	switch {
 	case x.left > 0:
 		r.leases = append(r.leases, x)
@@ -153,22 +153,22 @@
 	r.waiting = nil
 }
 
-// Standing is what a box knows of a limit, for people.
-type Standing struct {
+// LimitStatus is what a box knows of a limit, for people.
+type LimitStatus struct {
 	// Balance is what it may still spend, Demand what it is asked for a second.
 	Balance, Demand float64
-	// Spent tells that the allocator could bear nothing at the last ask, Alone that no box answered.
-	Spent, Alone bool
+	// Exhausted tells that the allocator could bear nothing at the last ask, Isolated that no box answered.
+	Exhausted, Isolated bool
 }
 
-// Standing returns what the box knows of a limit; false where nothing was taken of it lately.
-func (l *Limiter) Standing(key Key) (Standing, bool) {
+// Status returns what the box knows of a limit; false where nothing was taken of it lately.
+func (l *Limiter) Status(key Key) (LimitStatus, bool) {
 	now := l.opts.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.rows[key]
 	if r == nil {
-		return Standing{}, false
+		return LimitStatus{}, false
 	}
-	return Standing{r.balance(now), r.demand.rate(now, demandSpan), now < r.spentUntil, l.alone}, true
+	return LimitStatus{r.balance(now), r.demand.rate(now, demandSpan), now < r.spentUntil, l.alone}, true
 }
--- a/rate/fuzz_test.go
+++ b/rate/fuzz_test.go
@@ -19,28 +19,28 @@
 		limit := Limit{PerSecond: 100, Burst: 100}
 		lessor := NewLessor("p", func() time.Duration { return now })
 		for range 3 {
-			answer := lessor.Answer("b", "p/1", Lead{Leads: true, Term: 1, Boxes: 3}, func(Asked) (Limit, bool) { return limit, true },
-				[]Asked{{Key: key, Ask: Ask{Need: need, Least: least, Ahead: ahead, Unused: unused}}})
-			for _, g := range answer.Rows {
-				if !(g.Leased >= 0) || math.IsInf(g.Leased, 0) || g.After < 0 {
-					t.Fatalf("leased %v after %v", g.Leased, g.After)
+			answer := lessor.Lease("b", "p/1", Leadership{IsLeader: true, Term: 1, Boxes: 3}, func(LimitRequest) (Limit, bool) { return limit, true },
+				[]LimitRequest{{Key: key, LeaseRequest: LeaseRequest{Pending: need, SmallestPending: least, Prefetch: ahead, Unused: unused}}})
+			for _, g := range answer.Grants {
+				if !(g.Leased >= 0) || math.IsInf(g.Leased, 0) || g.RetryAfter < 0 {
+					t.Fatalf("leased %v after %v", g.Leased, g.RetryAfter)
 				}
 			}
 			now += time.Second
 		}
 		l := NewLimiter(Options{Boxes: func() int { return 3 }, Now: func() time.Duration { return now }, Window: window,
-			Lease: func(context.Context, string, []Asked) (Answer, error) { panic("not called") }})
+			Lease: func(context.Context, string, []LimitRequest) (LeaseResponse, error) { panic("not called") }})
 		if wait, _ := l.try(key, limit, 1, true); wait == nil {
 			t.Fatal("there was nothing to spend")
 		}
 		_, asks := l.collect(now)
 		l.mu.Lock()
-		l.takeOver(Answer{Rows: []Granted{{key, Grant{Leased: leased, After: time.Duration(afterMs) * time.Millisecond}}}}, asks, now)
+		l.takeOver(LeaseResponse{Grants: []LimitGrant{{key, Grant{Leased: leased, RetryAfter: time.Duration(afterMs) * time.Millisecond}}}}, asks, now)
 		l.mu.Unlock()
-		if after, spent := l.Spent(key); spent && (after <= 0 || after > maxRetryAfter) {
+		if after, spent := l.Exhausted(key); spent && (after <= 0 || after > maxRetryAfter) {
 			t.Fatalf("spent for %v", after)
 		}
-		if s, _ := l.Standing(key); math.IsNaN(s.Balance) || math.IsInf(s.Balance, 0) {
+		if s, _ := l.Status(key); math.IsNaN(s.Balance) || math.IsInf(s.Balance, 0) {
 			t.Fatalf("balance %v", s.Balance)
 		}
 	})
--- a/rate/lessor.go
+++ b/rate/lessor.go
@@ -10,11 +10,11 @@
 // box with callers asks several times in it.
 const askerTTL = time.Second
 
-// Lead is what a box knows of leading when it is asked.
-type Lead struct {
-	// Leads tells that no other box leads now; Term is unlike that of any other time of leading.
-	Leads bool
-	Term  uint64
+// Leadership is what a box knows of leading when it is asked.
+type Leadership struct {
+	// IsLeader tells that no other box leads now; Term is unlike that of any other time of leading.
+	IsLeader bool
+	Term     uint64
 	// Boxes is how many boxes there are.
 	Boxes int
 }
@@ -26,7 +26,7 @@
 	now     func() time.Duration
 
 	mu        sync.Mutex
-	lead      Lead
+	lead      Leadership
 	allocator *allocator
 	askedAt   time.Duration            // by any box, last
 	askers    map[string]time.Duration // boxes, and when they asked last
@@ -37,19 +37,19 @@
 	return &Lessor{process: process, now: now, allocator: newAllocator(), askers: map[string]time.Duration{}}
 }
 
-// Answer answers a box. The epoch is that of the allocator to which what it gives back belonged; limitOf tells what a
+// Lease answers a box. The epoch is that of the allocator to which what it gives back belonged; limitOf tells what a
 // key is bounded by, false where it is not known.
-func (l *Lessor) Answer(box, epoch string, lead Lead, limitOf func(Asked) (Limit, bool), asks []Asked) Answer {
+func (l *Lessor) Lease(box, epoch string, lead Leadership, limitOf func(LimitRequest) (Limit, bool), asks []LimitRequest) LeaseResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	changed := lead.Leads != l.lead.Leads || lead.Term != l.lead.Term
-	rested := !lead.Leads && now-l.askedAt > ownShareTTL // what a part saved up meanwhile was another's to give
+	changed := lead.IsLeader != l.lead.IsLeader || lead.Term != l.lead.Term
+	rested := !lead.IsLeader && now-l.askedAt > ownShareTTL // what a part saved up meanwhile was another's to give
 	if changed || rested {
 		l.allocator = newAllocator()
 	}
 	l.lead, l.askedAt = lead, now
-	answer := Answer{Epoch: l.epoch()}
+	answer := LeaseResponse{Epoch: l.epoch()}
 	share := l.share(box, now)
 	for _, ask := range asks {
 		limit, known := limitOf(ask)
@@ -59,13 +59,13 @@
 		if epoch != answer.Epoch {
 			ask.Unused = 0
 		}
-		answer.Rows = append(answer.Rows, Granted{ask.Key, l.allocator.lease(now, ask.Key, limit, share, ask.Ask)})
+		answer.Grants = append(answer.Grants, LimitGrant{ask.Key, l.allocator.lease(now, ask.Key, limit, share, ask.LeaseRequest)})
 	}
 	return answer
 }
 
 func (l *Lessor) epoch() string {
-	if !l.lead.Leads {
+	if !l.lead.IsLeader {
 		return l.process
 	}
 	return l.process + "/" + strconv.FormatUint(l.lead.Term, 10)
@@ -73,7 +73,7 @@
 
 // share is the part of the limits that the allocator has.
 func (l *Lessor) share(box string, now time.Duration) float64 {
-	if l.lead.Leads {
+	if l.lead.IsLeader {
 		return 1
 	}
 	l.askers[box] = now
--- a/rate/limiter.go
+++ b/rate/limiter.go
@@ -44,31 +44,31 @@
 	Rank int
 }
 
-// Asked is one limit of a call to the allocator.
-type Asked struct {
+// LimitRequest is one limit of a call to the allocator.
+type LimitRequest struct {
 	Key
 	// PerSecond is the rate of the limit as the box that asks knows it.
 	PerSecond float64
-	Ask
+	LeaseRequest
 }
 
-// Granted is one limit of its answer.
-type Granted struct {
+// LimitGrant is one limit of its answer.
+type LimitGrant struct {
 	Key
 	Grant
 }
 
-// Answer is what an allocator says.
-type Answer struct {
+// LeaseResponse is what an allocator says.
+type LeaseResponse struct {
 	// Epoch is unlike that of any other allocator.
-	Epoch string
-	Rows  []Granted
+	Epoch  string
+	Grants []LimitGrant
 }
 
 // Options make a Limiter.
 type Options struct {
 	// Lease calls the allocator.
-	Lease func(ctx context.Context, epoch string, asks []Asked) (Answer, error)
+	Lease func(ctx context.Context, epoch string, asks []LimitRequest) (LeaseResponse, error)
 	// Boxes returns how many boxes there are.
 	Boxes func() int
 	// Now is a steady clock that goes on while the machine sleeps.
@@ -149,14 +149,14 @@
 		return Charge{}, nil
 	}
 	if weight > limit.PerSecond*l.opts.Window.Seconds()+limit.Burst {
-		return Charge{}, &Refusal{Spent: true, TooLarge: true}
+		return Charge{}, &Refusal{Exhausted: true, TooLarge: true}
 	}
 	began := l.opts.Now()
 	for first := true; ; first = false {
 		waits, refusal := l.try(key, limit, weight, first)
 		switch {
-		case refusal != nil && refusal.Spent && l.opts.Now()-began+refusal.After <= maxWait:
-			if !wait.For(ctx, refusal.After) {
+		case refusal != nil && refusal.Exhausted && l.opts.Now()-began+refusal.RetryAfter <= maxWait:
+			if !wait.For(ctx, refusal.RetryAfter) {
 				return Charge{}, &Refusal{}
 			}
 		case refusal != nil:
@@ -191,7 +191,7 @@
 		return nil, nil
 	}
 	if now < r.spentUntil {
-		return nil, &Refusal{After: r.spentUntil - now, Spent: !l.alone, Balance: r.balance(now), Age: now - r.spentAt}
+		return nil, &Refusal{RetryAfter: r.spentUntil - now, Exhausted: !l.alone, Balance: r.balance(now), Age: now - r.spentAt}
 	}
 	x := &waiter{weight, make(chan struct{})}
 	r.waiting = append(r.waiting, x)
@@ -199,8 +199,8 @@
 	return x, nil
 }
 
-// Spent returns for how long yet, as far as the box knows, nothing of a limit is to be had; false where a request had best try.
-func (l *Limiter) Spent(key Key) (time.Duration, bool) {
+// Exhausted returns for how long yet, as far as the box knows, nothing of a limit is to be had; false where a request had best try.
+func (l *Limiter) Exhausted(key Key) (time.Duration, bool) {
 	now := l.opts.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/rate/refusal.go
+++ b/rate/refusal.go
@@ -4,10 +4,10 @@
 
 // Refusal says that a limit does not admit a request now.
 type Refusal struct {
-	// After is when it had best come back.
-	After time.Duration
-	// Spent tells that the limit is used up; else no allocator could be asked.
-	Spent bool
+	// RetryAfter is when it had best come back.
+	RetryAfter time.Duration
+	// Exhausted tells that the limit is used up; else no allocator could be asked.
+	Exhausted bool
 	// TooLarge tells that the request alone is beyond what the limit admits in a window.
 	TooLarge bool
 	// Balance is what the box might have spent, Age how old the answer is that this rests on.
--- a/rate/sim_test.go
+++ b/rate/sim_test.go
@@ -62,7 +62,7 @@
 func (x *world) start(b *simBox) {
 	b.l = NewLimiter(Options{
 		Boxes: func() int { return len(x.boxes) }, Now: func() time.Duration { return x.now }, Window: window,
-		Lease: func(context.Context, string, []Asked) (Answer, error) { panic("not called") },
+		Lease: func(context.Context, string, []LimitRequest) (LeaseResponse, error) { panic("not called") },
 	})
 	x.started++
 	b.asked = NewLessor(strconv.Itoa(x.started), func() time.Duration { return x.now })
@@ -140,13 +140,13 @@
 		b.l.takeOver(b.l.answerAlone(asks), asks, x.now)
 		return
 	}
-	lead := Lead{Boxes: len(x.boxes)}
+	lead := Leadership{Boxes: len(x.boxes)}
 	if i == x.leader {
-		lead.Leads, lead.Term = true, x.term
+		lead.IsLeader, lead.Term = true, x.term
 	}
 	box := strconv.Itoa(slices.Index(x.boxes, b))
-	limitOf := func(Asked) (Limit, bool) { return x.limit, true }
-	b.l.takeOver(x.boxes[i].asked.Answer(box, epoch, lead, limitOf, asks), asks, x.now)
+	limitOf := func(LimitRequest) (Limit, bool) { return x.limit, true }
+	b.l.takeOver(x.boxes[i].asked.Lease(box, epoch, lead, limitOf, asks), asks, x.now)
 }
 
 const window = 8 * time.Second
--- a/route/choose.go
+++ b/route/choose.go
@@ -135,7 +135,7 @@
 	if b.leaving.Load() {
 		return true
 	}
-	_, drains := d.pushback.Drains(b.Name)
+	_, drains := d.pushback.Draining(b.Name)
 	return drains
 }
 
@@ -147,7 +147,7 @@
 	switch {
 	case d.pushback.Limit(b.Name) == 0:
 		return 0
-	case d.pushback.DueForTry(b.Name):
+	case d.pushback.DueForProbe(b.Name):
 		return math.Inf(-1)
 	}
 	return limitedLoad
--- a/route/route.go
+++ b/route/route.go
@@ -77,7 +77,7 @@
 
 // Blocked reports whether a backend takes no request of a rank now, why, and for how long yet (8).
 func (d *Directory) Blocked(b *Backend, rank int) (pushback.Block, bool) {
-	if !d.pushback.Any() {
+	if !d.pushback.Active() {
 		return pushback.Block{}, false
 	}
 	return d.pushback.Blocked(b.Name, rank)
--- a/state/level_test.go
+++ b/state/level_test.go
@@ -43,7 +43,7 @@
 	g.Expect(before.Apply).To(Equal(state.Invalid), "as the build before has it")
 	st, after := applyAll(t, raise(level.Workspaces), applyOf(withWorkspace))
 	g.Expect(after.Apply).To(Equal(state.Accepted))
-	g.Expect(st.Fleet.Workspaces.Named("w")).NotTo(BeNil())
+	g.Expect(st.Fleet.Workspaces.ByName("w")).NotTo(BeNil())
 }
 
 func TestALevelNeverGoesBackAndStandsInSnapshots(t *testing.T) {
@@ -53,7 +53,7 @@
 	again, err := state.Decode(st.Encode())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again.Level).To(Equal(level.Workspaces))
-	g.Expect(again.Fleet.Workspaces.Named("w")).NotTo(BeNil())
+	g.Expect(again.Fleet.Workspaces.ByName("w")).NotTo(BeNil())
 }
 
 func TestWhatABuildDoesNotKnowIsToldAndNotPassedOver(t *testing.T) {
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -59,10 +59,10 @@
 	Limiter *rate.Limiter
 	// View is the agreed state.
 	View func() *state.State
-	// Tell has the leader hear what a server named. It must not block.
-	Tell   func(server string, limit dialect.Limit)
-	Meters *meter.Meters
-	Log    *zap.Logger
+	// ReportLimit has the leader hear what a server named. It must not block.
+	ReportLimit func(server string, limit dialect.Limit)
+	Meters      *meter.Meters
+	Log         *zap.Logger
 }
 
 // Throttle holds what one box knows of servers' limits.
@@ -91,8 +91,8 @@
 	return &Throttle{opts: opts, reports: map[string]*report{}, unreached: map[string]time.Time{}}
 }
 
-// Note records what an answer of a server says of its limit. One that names none ends it, if it is surely the server's.
-func (t *Throttle) Note(server string, r dialect.Report) {
+// RecordReport records what an answer of a server says of its limit. One that names none ends it, if it is surely the server's.
+func (t *Throttle) RecordReport(server string, r dialect.Report) {
 	named := r.HasLimit || r.LimitErr != nil
 	if t == nil || !named && (!r.Own || !t.knows(server)) {
 		return
@@ -117,7 +117,7 @@
 	}
 	if said && differ(limit, agreed) && (w.lastReported != limit || now.Sub(w.reportedAt) >= reportInterval) {
 		w.lastReported, w.reportedAt = limit, now
-		t.opts.Tell(server, limit)
+		t.opts.ReportLimit(server, limit)
 	}
 }
 
@@ -164,8 +164,8 @@
 	}
 }
 
-// Any reports whether some server may have a limit: if not, none need be looked up.
-func (t *Throttle) Any() bool {
+// Active reports whether some server may have a limit: if not, none need be looked up.
+func (t *Throttle) Active() bool {
 	if t == nil {
 		return false
 	}
@@ -194,8 +194,8 @@
 	return min(a, b)
 }
 
-// NoteUnreached records that no connection to a server could be opened (5).
-func (t *Throttle) NoteUnreached(server string) {
+// RecordUnreachable records that no connection to a server could be opened (5).
+func (t *Throttle) RecordUnreachable(server string) {
 	if t == nil || t.opts.View().WarmUpRate(server) == 0 {
 		return
 	}
@@ -253,21 +253,21 @@
 	return rate.Limit{PerSecond: perSecond, Burst: minBurst + burstSpan*perSecond}
 }
 
-// Both is what all boxes together keep to for a server that names a limit and warms up, of which either may be none. A
+// EffectiveLimit is what all boxes together keep to for a server that names a limit and warms up, of which either may be none. A
 // server that warms up fails at little more than its rate: its limit has no burst that grows with it.
-func Both(named, warmUp dialect.Limit) rate.Limit {
+func EffectiveLimit(named, warmUp dialect.Limit) rate.Limit {
 	if warmUp == 0 || lower(named, warmUp) != warmUp {
 		return LimitOf(named)
 	}
 	return rate.Limit{PerSecond: warmUp.PerSecond(), Burst: minBurst}
 }
 
-// Full returns for how long yet a server's limit admits no request of a rank (3); false where it admits one.
-func (t *Throttle) Full(server string, rank int) (time.Duration, bool) {
+// Exhausted returns for how long yet a server's limit admits no request of a rank (3); false where it admits one.
+func (t *Throttle) Exhausted(server string, rank int) (time.Duration, bool) {
 	if t.Limit(server) == 0 {
 		return 0, false
 	}
-	return t.opts.Limiter.Spent(rate.Key{Name: server, Rank: rank})
+	return t.opts.Limiter.Exhausted(rate.Key{Name: server, Rank: rank})
 }
 
 // Take asks the server's limit to admit an attempt of a rank (2). The refusal is nil where it does, or there is no limit.
@@ -275,7 +275,7 @@
 	if t == nil {
 		return rate.Charge{}, nil
 	}
-	limit := Both(t.named(server), t.warmUp(server))
+	limit := EffectiveLimit(t.named(server), t.warmUp(server))
 	if !limit.Bounded() {
 		return rate.Charge{}, nil
 	}
@@ -288,8 +288,8 @@
 	return charge, refusal
 }
 
-// DueForTry reports whether a server with a limit is to be tried now though others are preferred (4).
-func (t *Throttle) DueForTry(server string) bool {
+// DueForProbe reports whether a server with a limit is to be tried now though others are preferred (4).
+func (t *Throttle) DueForProbe(server string) bool {
 	now, boxes := time.Now(), len(t.opts.View().Members)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -47,15 +47,15 @@
 	lessor := rate.NewLessor("p", clock.New().Now)
 	limiter := rate.NewLimiter(rate.Options{
 		Now: clock.New().Now, Window: 4 * time.Second, Boxes: func() int { return 1 },
-		Lease: func(_ context.Context, epoch string, asks []rate.Asked) (rate.Answer, error) {
-			limitOf := func(a rate.Asked) (rate.Limit, bool) { return LimitOf(dialect.LimitOf(a.PerSecond)), true }
-			return lessor.Answer("b", epoch, rate.Lead{Leads: true, Term: 1, Boxes: 1}, limitOf, asks), nil
+		Lease: func(_ context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
+			limitOf := func(a rate.LimitRequest) (rate.Limit, bool) { return LimitOf(dialect.LimitOf(a.PerSecond)), true }
+			return lessor.Lease("b", epoch, rate.Leadership{IsLeader: true, Term: 1, Boxes: 1}, limitOf, asks), nil
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go limiter.Run(ctx)
-	return New(Options{Limiter: limiter, View: func() *state.State { return view }, Tell: heard.tell, Meters: meter.New(), Log: zap.New(core)}), heard, lines
+	return New(Options{Limiter: limiter, View: func() *state.State { return view }, ReportLimit: heard.tell, Meters: meter.New(), Log: zap.New(core)}), heard, lines
 }
 
 func agree(view *state.State, milli uint32) {
@@ -70,40 +70,40 @@
 	g := NewWithT(t)
 	view := state.New()
 	x, heard, lines := newThrottle(t, view)
-	g.Expect(x.Any()).To(BeFalse())
-	x.Note("s", answer(true))
-	g.Expect(x.Any()).To(BeFalse(), "servers that name nothing are not remembered")
+	g.Expect(x.Active()).To(BeFalse())
+	x.RecordReport("s", answer(true))
+	g.Expect(x.Active()).To(BeFalse(), "servers that name nothing are not remembered")
 
-	x.Note("s", answer(true, "2"))
+	x.RecordReport("s", answer(true, "2"))
 	g.Expect(x.Limit("s")).To(Equal(dialect.Limit(2000)))
 	g.Expect(heard.list).To(Equal([]dialect.Limit{2000}))
 	agree(view, 2000)
-	x.Note("s", answer(true, "2.05"))
+	x.RecordReport("s", answer(true, "2.05"))
 	g.Expect(x.Limit("s")).To(Equal(dialect.Limit(2050)))
 	g.Expect(heard.list).To(HaveLen(1), "a small change is not worth an entry")
 	agree(view, 500)
 	g.Expect(x.Limit("s")).To(Equal(dialect.Limit(500)), "another box was told since")
 
-	x.Note("s", answer(false))
+	x.RecordReport("s", answer(false))
 	g.Expect(x.Limit("s")).To(Equal(dialect.Limit(500)), "an answer that is not surely the server's does not end it")
-	x.Note("s", answer(true, "x"))
-	x.Note("s", answer(true, "-1"))
+	x.RecordReport("s", answer(true, "x"))
+	x.RecordReport("s", answer(true, "-1"))
 	g.Expect(x.Limit("s")).To(Equal(dialect.Limit(500)), "what cannot be read changes nothing")
 	g.Expect(lines.FilterMessage(event.LimitMalformed.Title).Len()).To(Equal(1), "one line, not one for each")
-	x.Note("s", answer(true))
+	x.RecordReport("s", answer(true))
 	g.Expect(x.Limit("s")).To(BeZero())
 	g.Expect(heard.list).To(Equal([]dialect.Limit{2000, 0}))
 	agree(view, 0)
 	g.Expect(x.Limit("s")).To(BeZero())
 	g.Expect(x.Limit("another life at its address")).To(BeZero())
-	g.Expect(x.Any()).To(BeFalse(), "what has ended is forgotten")
+	g.Expect(x.Active()).To(BeFalse(), "what has ended is forgotten")
 }
 
 // A server whose limit is used up is passed over by this rank and refuses at once with a time to come back.
 func TestAUsedLimitIsKnownAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	x, _, _ := newThrottle(t, state.New())
-	x.Note("s", answer(true, "0.5"))
+	x.RecordReport("s", answer(true, "0.5"))
 	var refusal *rate.Refusal
 	for range 5 {
 		if _, refusal = x.Take(context.Background(), "s", 0); refusal != nil {
@@ -111,8 +111,8 @@
 		}
 	}
 	g.Expect(refusal).NotTo(BeNil())
-	g.Expect(refusal.After).To(BeNumerically("<", 3*time.Second))
-	after, full := x.Full("s", 0)
+	g.Expect(refusal.RetryAfter).To(BeNumerically("<", 3*time.Second))
+	after, full := x.Exhausted("s", 0)
 	g.Expect(full).To(BeTrue())
 	g.Expect(after).To(BeNumerically(">", 0))
 	began := time.Now()
@@ -132,7 +132,7 @@
 	for i := range maxReports {
 		x.reports[string(rune(i))+"old"] = &report{at: long}
 	}
-	x.Note("s", answer(true, "1"))
+	x.RecordReport("s", answer(true, "1"))
 	g.Expect(len(x.reports)).To(Equal(1))
 }
 
@@ -143,13 +143,15 @@
 	g := NewWithT(t)
 	limiter := rate.NewLimiter(rate.Options{
 		Now: clock.New().Now, Window: 4 * time.Second, Boxes: func() int { return 10 },
-		Lease: func(context.Context, string, []rate.Asked) (rate.Answer, error) { return rate.Answer{}, errNobody },
+		Lease: func(context.Context, string, []rate.LimitRequest) (rate.LeaseResponse, error) {
+			return rate.LeaseResponse{}, errNobody
+		},
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	go limiter.Run(ctx)
-	x := New(Options{Limiter: limiter, View: state.New, Tell: func(string, dialect.Limit) {}, Meters: meter.New(), Log: zap.NewNop()})
-	x.Note("s", answer(true, "10"))
+	x := New(Options{Limiter: limiter, View: state.New, ReportLimit: func(string, dialect.Limit) {}, Meters: meter.New(), Log: zap.NewNop()})
+	x.RecordReport("s", answer(true, "10"))
 	borne := 0
 	for ctx.Err() == nil {
 		if _, refusal := x.Take(ctx, "s", 0); refusal == nil {
@@ -170,19 +172,19 @@
 	view.Fleet.WarmsUp = true
 	view.Announced.Set("s", &wire.Announcement{Id: "s", Service: "p"})
 	x, _, _ := newThrottle(t, view)
-	g.Expect(x.Any()).To(BeTrue())
+	g.Expect(x.Active()).To(BeTrue())
 	g.Expect(x.Limit("s")).To(BeZero())
 	view.Announced.Set("s", &wire.Announcement{Id: "s", Service: "p", Cold: true})
 	g.Expect(x.Limit("s").PerSecond()).To(BeEquivalentTo(8))
-	x.Note("s", answer(true, "2"))
+	x.RecordReport("s", answer(true, "2"))
 	g.Expect(x.Limit("s").PerSecond()).To(BeEquivalentTo(2))
-	x.Note("s", answer(true))
+	x.RecordReport("s", answer(true))
 	g.Expect(x.Limit("s").PerSecond()).To(BeEquivalentTo(8), "an answer without a limit says nothing of warming up")
 	view.Announced.Set("s", &wire.Announcement{Id: "s", Service: "p"})
 	g.Expect(x.Limit("s")).To(BeZero())
-	x.NoteUnreached("s")
+	x.RecordUnreachable("s")
 	g.Expect(x.Limit("s").PerSecond()).To(BeEquivalentTo(8))
-	g.Expect(Both(0, 8000)).To(Equal(rate.Limit{PerSecond: 8, Burst: minBurst}))
-	g.Expect(Both(2000, 8000)).To(Equal(LimitOf(2000)))
-	g.Expect(Both(0, 0).Bounded()).To(BeFalse())
+	g.Expect(EffectiveLimit(0, 8000)).To(Equal(rate.Limit{PerSecond: 8, Burst: minBurst}))
+	g.Expect(EffectiveLimit(2000, 8000)).To(Equal(LimitOf(2000)))
+	g.Expect(EffectiveLimit(0, 0).Bounded()).To(BeFalse())
 }
--- a/workspace/key.go
+++ b/workspace/key.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// MaxKey is the length of the longest key, in bytes. The platform's have 20; a header's limit is
+	// MaxKeyLength is the length of the longest key, in bytes. The platform's have 20; a header's limit is
 	// 16 KB, and hashing all of it for nothing would be a caller's way to spend a box's time.
-	MaxKey = 256
-	// LeastKey is the length of the shortest key that a file may hold, in bytes.
-	LeastKey = 8
+	MaxKeyLength = 256
+	// MinKeyLength is the length of the shortest key that a file may hold, in bytes.
+	MinKeyLength = 8
 	// shownDigits is how much of a digest stands for a key in what people read: enough to tell the
 	// keys of a fleet apart, and of no use to who guesses at keys.
 	shownDigits = 8
@@ -25,7 +25,7 @@
 
 // DigestOf returns the digest of a key of at most MaxKey bytes.
 func DigestOf(key string) Digest {
-	var buf [MaxKey]byte
+	var buf [MaxKeyLength]byte
 	n := copy(buf[:], key)
 	return sha256.Sum256(buf[:n])
 }
@@ -33,12 +33,12 @@
 // String returns the beginning of the digest, by which people tell keys apart.
 func (d Digest) String() string { return hex.EncodeToString(d[:])[:shownDigits] }
 
-// Line returns the digest as a file may hold it in place of its key.
-func (d Digest) Line() string { return digestPrefix + hex.EncodeToString(d[:]) }
+// Encode returns the digest as a file may hold it in place of its key.
+func (d Digest) Encode() string { return digestPrefix + hex.EncodeToString(d[:]) }
 
-// ReadKey reads a key as a file holds it: the key itself, or its digest. The error says what is
+// ParseKey reads a key as a file holds it: the key itself, or its digest. The error says what is
 // wrong and never names the key.
-func ReadKey(text string) (Digest, error) {
+func ParseKey(text string) (Digest, error) {
 	digits, isDigest := strings.CutPrefix(text, digestPrefix)
 	if isDigest {
 		var d Digest
@@ -49,8 +49,8 @@
 		copy(d[:], raw)
 		return d, nil
 	}
-	if len(text) < LeastKey || len(text) > MaxKey {
-		return Digest{}, Error.New("a key has %d bytes, not %d to %d", len(text), LeastKey, MaxKey)
+	if len(text) < MinKeyLength || len(text) > MaxKeyLength {
+		return Digest{}, Error.New("a key has %d bytes, not %d to %d", len(text), MinKeyLength, MaxKeyLength)
 	}
 	return DigestOf(text), nil
 }
--- a/workspace/quota.go
+++ b/workspace/quota.go
@@ -23,19 +23,19 @@
 	Rate float64
 	// Burst is what may be served beyond the rate, in units.
 	Burst float64
-	// Plain is what a request without a count weighs, in tokens.
-	Plain float64
+	// DefaultTokens is what a request without a count weighs, in tokens.
+	DefaultTokens float64
 }
 
 // Limit is what all boxes together keep to, in the quota's unit.
 func (q Quota) Limit() rate.Limit { return rate.Limit{PerSecond: q.Rate, Burst: q.Burst} }
 
-// ReasonOf is what callers are told where a quota does not bear their request.
-func ReasonOf(r *rate.Refusal) *reason.Reason {
+// RefusalReason is what callers are told where a quota does not bear their request.
+func RefusalReason(r *rate.Refusal) *reason.Reason {
 	switch {
 	case r.TooLarge:
 		return reason.BeyondQuota
-	case r.Spent:
+	case r.Exhausted:
 		return reason.OverQuota
 	}
 	return reason.QuotaUnsure
@@ -45,21 +45,21 @@
 type Usage struct {
 	// Tokens are those of the prompt and the most that may be produced.
 	Tokens float64
-	// Told reports whether the request says so in a way that can be read.
-	Told bool
+	// Known reports whether the request says so in a way that can be read.
+	Known bool
 }
 
 // maxTokens bounds what one request can weigh, in tokens: more than any server holds, and so little
 // that sums of it stay exact.
 const maxTokens = 1 << 40
 
-// UsageOf makes the usage of a request from its two counts (6).
-func UsageOf(in, out float64) Usage {
+// NewUsage makes the usage of a request from its two counts (6).
+func NewUsage(in, out float64) Usage {
 	sum := in + out
 	if math.IsNaN(sum) || in < 0 || out < 0 {
 		return Usage{}
 	}
-	return Usage{Tokens: min(sum, maxTokens), Told: true}
+	return Usage{Tokens: min(sum, maxTokens), Known: true}
 }
 
 // Weigh returns what a request takes of the quota, in its unit (6).
@@ -67,8 +67,8 @@
 	switch {
 	case q.Unit != Tokens:
 		return 1
-	case u.Told:
+	case u.Known:
 		return u.Tokens
 	}
-	return q.Plain
+	return q.DefaultTokens
 }
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -41,36 +41,36 @@
 	Regions []string
 }
 
-// Book finds the workspaces of a fleet. A nil Book is that of a fleet without workspaces, where
+// Registry finds the workspaces of a fleet. A nil Registry is that of a fleet without workspaces, where
 // nobody needs a key.
-type Book struct {
+type Registry struct {
 	byKey  map[Digest]*Workspace
 	byName map[string]*Workspace
 }
 
-// Clash is a key that two workspaces hold (3), or one that stands twice.
-type Clash struct {
+// KeyConflict is a key that two workspaces hold (3), or one that stands twice.
+type KeyConflict struct {
 	Key           Digest
 	First, Second string // names of workspaces
 }
 
-func (c Clash) String() string {
+func (c KeyConflict) String() string {
 	return fmt.Sprintf("key %s is held by %s and by %s", c.Key, c.First, c.Second)
 }
 
-// NewBook returns the book of a list of workspaces with names of their own, nil for an empty list,
+// NewRegistry returns the book of a list of workspaces with names of their own, nil for an empty list,
 // and the keys for which it must be refused.
-func NewBook(list []*Workspace) (*Book, []Clash) {
+func NewRegistry(list []*Workspace) (*Registry, []KeyConflict) {
 	if len(list) == 0 {
 		return nil, nil
 	}
-	b := &Book{byKey: map[Digest]*Workspace{}, byName: map[string]*Workspace{}}
-	var clashes []Clash
+	b := &Registry{byKey: map[Digest]*Workspace{}, byName: map[string]*Workspace{}}
+	var clashes []KeyConflict
 	for _, w := range list {
 		b.byName[w.Name] = w
 		for _, k := range w.Keys {
 			if other := b.byKey[k]; other != nil && other != w {
-				clashes = append(clashes, Clash{k, other.Name, w.Name})
+				clashes = append(clashes, KeyConflict{k, other.Name, w.Name})
 			}
 			b.byKey[k] = w
 		}
@@ -78,9 +78,9 @@
 	return b, clashes
 }
 
-// Admit returns the workspace of a request that shows the keys, nil for one that needs none and
+// Authorize returns the workspace of a request that shows the keys, nil for one that needs none and
 // shows none that is known; ok tells whether it may run (1).
-func (b *Book) Admit(keys []string, public bool) (w *Workspace, ok bool) {
+func (b *Registry) Authorize(keys []string, public bool) (w *Workspace, ok bool) {
 	if b == nil {
 		return nil, true
 	}
@@ -91,15 +91,15 @@
 }
 
 // find is rule 2.
-func (b *Book) find(key string) *Workspace {
-	if len(key) == 0 || len(key) > MaxKey {
+func (b *Registry) find(key string) *Workspace {
+	if len(key) == 0 || len(key) > MaxKeyLength {
 		return nil
 	}
 	return b.byKey[DigestOf(key)]
 }
 
-// Named returns the workspace of a name, nil where there is none.
-func (b *Book) Named(name string) *Workspace {
+// ByName returns the workspace of a name, nil where there is none.
+func (b *Registry) ByName(name string) *Workspace {
 	if b == nil {
 		return nil
 	}
@@ -107,7 +107,7 @@
 }
 
 // All returns the workspaces by name.
-func (b *Book) All() []*Workspace {
+func (b *Registry) All() []*Workspace {
 	if b == nil {
 		return nil
 	}
--- a/workspace/workspace_test.go
+++ b/workspace/workspace_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	atelier := &Workspace{Name: "atelier", Keys: keysOf("key-of-atelier-1", "key-of-atelier-2")}
 	library := &Workspace{Name: "library", Keys: keysOf("key-of-library")}
-	b, clashes := NewBook([]*Workspace{atelier, library})
+	b, clashes := NewRegistry([]*Workspace{atelier, library})
 	g.Expect(clashes).To(BeEmpty())
 	for _, c := range []struct {
 		name   string
@@ -38,12 +38,12 @@
 		{"with a blank", []string{"key-of-library "}, false, nil, false},
 		{"odd bytes", []string{"\x00\xff\r"}, false, nil, false},
 		{"16 KB", []string{strings.Repeat("k", 16<<10)}, false, nil, false},
-		{"its digest", []string{DigestOf("key-of-library").Line()}, false, nil, false},
+		{"its digest", []string{DigestOf("key-of-library").Encode()}, false, nil, false},
 		{"none on a public route", nil, true, nil, true},
 		{"unknown on a public route", []string{"key-of-nobody"}, true, nil, true},
 		{"known on a public route", []string{"key-of-library"}, true, library, true},
 	} {
-		w, ok := b.Admit(c.keys, c.public)
+		w, ok := b.Authorize(c.keys, c.public)
 		g.Expect(w).To(BeIdenticalTo(c.want), c.name)
 		g.Expect(ok).To(Equal(c.ok), c.name)
 	}
@@ -51,28 +51,28 @@
 
 func TestWithoutWorkspacesNobodyNeedsAKey(t *testing.T) {
 	g := NewWithT(t)
-	b, _ := NewBook(nil)
-	w, ok := b.Admit([]string{"any", "two"}, false)
+	b, _ := NewRegistry(nil)
+	w, ok := b.Authorize([]string{"any", "two"}, false)
 	g.Expect(w).To(BeNil())
 	g.Expect(ok).To(BeTrue())
 }
 
 func TestAKeyThatTwoHoldIsNamedWithBoth(t *testing.T) {
 	g := NewWithT(t)
-	_, clashes := NewBook([]*Workspace{{Name: "one", Keys: keysOf("the-same-key")}, {Name: "two", Keys: keysOf("the-same-key")}})
+	_, clashes := NewRegistry([]*Workspace{{Name: "one", Keys: keysOf("the-same-key")}, {Name: "two", Keys: keysOf("the-same-key")}})
 	g.Expect(clashes).To(HaveLen(1))
 	g.Expect(clashes[0].String()).To(And(ContainSubstring("one"), ContainSubstring("two"), Not(ContainSubstring("the-same-key"))))
 }
 
 func TestAFileHoldsKeysOrTheirDigests(t *testing.T) {
 	g := NewWithT(t)
-	plain, err := ReadKey("a-key-of-some-length")
+	plain, err := ParseKey("a-key-of-some-length")
 	g.Expect(err).NotTo(HaveOccurred())
-	digest, err := ReadKey(DigestOf("a-key-of-some-length").Line())
+	digest, err := ParseKey(DigestOf("a-key-of-some-length").Encode())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(digest).To(Equal(plain))
-	for _, bad := range []string{"", "short", strings.Repeat("k", MaxKey+1), "sha256:", "sha256:00ff", "sha256:" + strings.Repeat("zz", 32)} {
-		_, err := ReadKey(bad)
+	for _, bad := range []string{"", "short", strings.Repeat("k", MaxKeyLength+1), "sha256:", "sha256:00ff", "sha256:" + strings.Repeat("zz", 32)} {
+		_, err := ParseKey(bad)
 		g.Expect(err).To(HaveOccurred(), bad)
 		if bad != "" {
 			g.Expect(err.Error()).NotTo(ContainSubstring(bad))
@@ -93,20 +93,20 @@
 
 func TestWhatRequestsWeigh(t *testing.T) {
 	g := NewWithT(t)
-	tokens := Quota{Unit: Tokens, Plain: 200}
+	tokens := Quota{Unit: Tokens, DefaultTokens: 200}
 	for _, c := range []struct {
 		name string
 		q    Quota
 		u    Usage
 		want float64
 	}{
-		{"a request counts as one", Quota{Unit: Requests}, UsageOf(1000, 10), 1},
-		{"no unit is requests", Quota{}, UsageOf(1000, 10), 1},
-		{"both counts", tokens, UsageOf(1000, 10), 1010},
+		{"a request counts as one", Quota{Unit: Requests}, NewUsage(1000, 10), 1},
+		{"no unit is requests", Quota{}, NewUsage(1000, 10), 1},
+		{"both counts", tokens, NewUsage(1000, 10), 1010},
 		{"none told", tokens, Usage{}, 200},
-		{"below zero", tokens, UsageOf(-5, 10), 200},
-		{"huge", tokens, UsageOf(1e300, 1e300), maxTokens},
-		{"nothing", tokens, UsageOf(0, 0), 0},
+		{"below zero", tokens, NewUsage(-5, 10), 200},
+		{"huge", tokens, NewUsage(1e300, 1e300), maxTokens},
+		{"nothing", tokens, NewUsage(0, 0), 0},
 	} {
 		g.Expect(c.q.Weigh(c.u)).To(Equal(c.want), c.name)
 	}
@@ -115,13 +115,13 @@
 // A look-up by key is on the path of each request.
 func TestALookUpAllocatesNothing(t *testing.T) {
 	b, key := largeBook()
-	if n := testing.AllocsPerRun(100, func() { b.Admit(key, false) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { b.Authorize(key, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
 // largeBook has 2,000 workspaces of 20 keys.
-func largeBook() (*Book, []string) {
+func largeBook() (*Registry, []string) {
 	var list []*Workspace
 	for range 2000 {
 		w := &Workspace{Name: NewKey()}
@@ -132,27 +132,27 @@
 	}
 	key := NewKey()
 	list[1000].Keys = append(list[1000].Keys, DigestOf(key))
-	b, _ := NewBook(list)
+	b, _ := NewRegistry(list)
 	return b, []string{key}
 }
 
 func BenchmarkLookUp(b *testing.B) {
 	book, key := largeBook()
 	for b.Loop() {
-		book.Admit(key, false)
+		book.Authorize(key, false)
 	}
 }
 
 func FuzzAdmit(f *testing.F) {
-	b, _ := NewBook([]*Workspace{{Name: "one", Keys: keysOf("the-only-key")}})
+	b, _ := NewRegistry([]*Workspace{{Name: "one", Keys: keysOf("the-only-key")}})
 	f.Add("the-only-key")
 	f.Add("")
 	f.Add("sha256:00")
 	f.Fuzz(func(t *testing.T, key string) {
-		w, ok := b.Admit([]string{key}, false)
+		w, ok := b.Authorize([]string{key}, false)
 		if ok != (key == "the-only-key") || ok != (w != nil) {
 			t.Errorf("%q: %v", key, ok)
 		}
-		_, _ = ReadKey(key)
+		_, _ = ParseKey(key)
 	})
 }
