--- a/bench/growth_test.go
+++ b/bench/growth_test.go
@@ -150,7 +150,7 @@
 func lostModels(st *state.State) {
 	for lost := range 30 {
 		other := fmt.Sprint("model", 10*lost+6)
-		for place, r := range st.Clone().Residents.Of(fmt.Sprint("model", 10*lost+5), "") {
+		for place, r := range st.Clone().Residents.ByItem(fmt.Sprint("model", 10*lost+5), "") {
 			st.Residents.Delete(place)
 			st.Residents.Put(&wire.Resident{Server: r.Server, Item: &wire.Item{Model: other, Version: "newest"}, Phase: wire.Phase_PHASE_READY, Memory: r.Memory})
 		}
--- a/bench/large_test.go
+++ b/bench/large_test.go
@@ -126,7 +126,7 @@
 		}
 		epochs = append(epochs, next)
 	}
-	table.Enter(0, epochs)
+	table.AdvanceEpoch(0, epochs)
 }
 
 // leastOf is how many runs of a step the least is taken of. The processor's time of one run grows by up to a half
--- a/bench/state_test.go
+++ b/bench/state_test.go
@@ -56,7 +56,7 @@
 			}
 			for b.Loop() {
 				t := claim.NewTable("box1/process")
-				t.Enter(0, []claim.Epoch{{Number: 1, Processes: list}, {Number: 2, Processes: list[1:]}})
+				t.AdvanceEpoch(0, []claim.Epoch{{Number: 1, Processes: list}, {Number: 2, Processes: list[1:]}})
 			}
 		})
 	}
--- a/box/drains.go
+++ b/box/drains.go
@@ -65,7 +65,7 @@
 
 // known reports whether it is agreed that a server drains, or has gone.
 func (d *drains) known(server string) bool {
-	a := d.parts.replica.View().Announced.Get(server)
+	a := d.parts.replica.View().Announcements.Get(server)
 	return a == nil || a.Leaving
 }
 
--- a/box/platform.go
+++ b/box/platform.go
@@ -211,7 +211,7 @@
 // Announce passes a server's word on to the leader. One that says nothing new is
 // acknowledged without a leader, too.
 func (c *platformCluster) Announce(ctx context.Context, a *wire.Announcement) error {
-	known := c.parts.replica.View().Announced.Get(a.Id)
+	known := c.parts.replica.View().Announcements.Get(a.Id)
 	nothingNew := known != nil && (known.Leaving || !a.Leaving) && known.Address == a.Address && known.Service == a.Service && (known.Cold || !a.Cold)
 	if nothingNew {
 		short, cancel := context.WithTimeout(ctx, knownTimeout)
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -41,10 +41,10 @@
 	Slots = 64
 	// holdersPerSlot is how many boxes guard a slot (1).
 	holdersPerSlot = 3
-	// Age is how long a claim and its answer are kept (7). It is far above the
+	// TTL is how long a claim and its answer are kept (7). It is far above the
 	// deadline of any class. After all holders of a slot were lost at once, its
 	// keys are refused for so long.
-	Age = 5 * time.Minute
+	TTL = 5 * time.Minute
 )
 
 // Verdict is a holder's word on a claim.
@@ -79,17 +79,17 @@
 	Attempt string
 	// Digest names the call: its method, path and body.
 	Digest []byte
-	// Began is when the claim was made, on the clock of the table that holds it.
-	Began  time.Duration
-	Result *Result
+	// CreatedAt is when the claim was made, on the clock of the table that holds it.
+	CreatedAt time.Duration
+	Result    *Result
 }
 
 // Answer is a holder's answer to a claim.
 type Answer struct {
 	Verdict Verdict
 	Epoch   uint64
-	// Other is the claim that stands against it, for Taken and OtherCall.
-	Other *Claim
+	// Conflict is the claim that stands against it, for Taken and OtherCall.
+	Conflict *Claim
 }
 
 // Process is one run of a box.
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// Enter takes over the newest epochs, oldest first, the last of which is the
+// AdvanceEpoch takes over the newest epochs, oldest first, the last of which is the
 // one to be in. It never goes back.
-func (t *Table) Enter(now time.Duration, epochs []Epoch) {
+func (t *Table) AdvanceEpoch(now time.Duration, epochs []Epoch) {
 	if len(epochs) == 0 || t.Current() != nil && epochs[len(epochs)-1].Number <= t.Current().Number {
 		return
 	}
@@ -229,8 +229,8 @@
 	return true, t.slots[s].ready == c.Number
 }
 
-// Ask answers an attempt's claim (2).
-func (t *Table) Ask(now time.Duration, key, attempt string, digest []byte, epoch uint64) Answer {
+// Acquire answers an attempt's claim (2).
+func (t *Table) Acquire(now time.Duration, key, attempt string, digest []byte, epoch uint64) Answer {
 	c := t.Current()
 	if c == nil || c.Number != epoch {
 		return Answer{Verdict: OtherEpoch, Epoch: numberOf(c)}
@@ -243,13 +243,13 @@
 	for _, other := range standing {
 		switch {
 		case !bytes.Equal(other.Digest, digest):
-			return Answer{Verdict: OtherCall, Epoch: c.Number, Other: other}
+			return Answer{Verdict: OtherCall, Epoch: c.Number, Conflict: other}
 		case other.Attempt != attempt:
-			return Answer{Verdict: Taken, Epoch: c.Number, Other: t.best(now, s, key)}
+			return Answer{Verdict: Taken, Epoch: c.Number, Conflict: t.best(now, s, key)}
 		}
 	}
 	if len(standing) == 0 {
-		t.slots[s].claims[key] = []*Claim{{Key: key, Attempt: attempt, Digest: digest, Began: now}}
+		t.slots[s].claims[key] = []*Claim{{Key: key, Attempt: attempt, Digest: digest, CreatedAt: now}}
 	}
 	return Answer{Verdict: Granted, Epoch: c.Number}
 }
@@ -263,7 +263,7 @@
 
 // live returns the claims under a key that have not ended by age (7).
 func (t *Table) live(now time.Duration, s int, key string) []*Claim {
-	list := slices.DeleteFunc(t.slots[s].claims[key], func(c *Claim) bool { return now-c.Began > Age })
+	list := slices.DeleteFunc(t.slots[s].claims[key], func(c *Claim) bool { return now-c.CreatedAt > TTL })
 	if len(list) == 0 {
 		delete(t.slots[s].claims, key)
 		return nil
@@ -294,8 +294,8 @@
 	}
 }
 
-// Record keeps how an attempt's call ended, for those who ask later.
-func (t *Table) Record(now time.Duration, key, attempt string, digest []byte, r *Result) {
+// RecordResult keeps how an attempt's call ended, for those who ask later.
+func (t *Table) RecordResult(now time.Duration, key, attempt string, digest []byte, r *Result) {
 	s := SlotOf(key)
 	for i, c := range t.slots[s].claims[key] {
 		if c.Attempt == attempt {
@@ -305,7 +305,7 @@
 			return
 		}
 	}
-	t.slots[s].claims[key] = append(t.slots[s].claims[key], &Claim{Key: key, Attempt: attempt, Digest: digest, Began: now, Result: r})
+	t.slots[s].claims[key] = append(t.slots[s].claims[key], &Claim{Key: key, Attempt: attempt, Digest: digest, CreatedAt: now, Result: r})
 }
 
 // Pull is a request for what a holder of an earlier epoch knows of a slot.
@@ -315,15 +315,15 @@
 	From  []string
 }
 
-// Pulls returns what this box still has to ask for, and ends the waits of rule 7.
-func (t *Table) Pulls(now time.Duration) []Pull {
+// PendingPulls returns what this box still has to ask for, and ends the waits of rule 7.
+func (t *Table) PendingPulls(now time.Duration) []Pull {
 	var list []Pull
 	for s := range t.slots {
 		sl := &t.slots[s]
 		if sl.pulling == 0 || sl.ready >= sl.pulling {
 			continue
 		}
-		if now-sl.since > Age { // (7)
+		if now-sl.since > TTL { // (7)
 			t.becomeReady(s)
 			continue
 		}
@@ -337,9 +337,9 @@
 	return list
 }
 
-// HandOver answers a pull: the claims of a slot, or false when this box was not
+// ExportClaims answers a pull: the claims of a slot, or false when this box was not
 // ready in that epoch or is still in it (4).
-func (t *Table) HandOver(now time.Duration, s int, epoch uint64) ([]*Claim, bool) {
+func (t *Table) ExportClaims(now time.Duration, s int, epoch uint64) ([]*Claim, bool) {
 	if s < 0 || s >= Slots || numberOf(t.Current()) <= epoch || t.slots[s].ready < epoch {
 		return nil, false
 	}
@@ -350,9 +350,9 @@
 	return list, true
 }
 
-// TakeOver adds what a holder of the epoch before handed over (4). The claims'
+// ImportClaims adds what a holder of the epoch before handed over (4). The claims'
 // Began is on this box's clock.
-func (t *Table) TakeOver(s int, epoch uint64, from string, claims []*Claim) {
+func (t *Table) ImportClaims(s int, epoch uint64, from string, claims []*Claim) {
 	sl := &t.slots[s]
 	previous := t.epoch(epoch)
 	if sl.pulling != epoch+1 || previous == nil || !slices.Contains(previous.Holders(s), from) {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -88,7 +88,7 @@
 	if table == nil {
 		return
 	}
-	if answer := table.Ask(w.now, a.key, a.name, []byte("call"), a.epoch); answer.Verdict == claim.Granted {
+	if answer := table.Acquire(w.now, a.key, a.name, []byte("call"), a.epoch); answer.Verdict == claim.Granted {
 		a.grants[h] = true
 	}
 	if len(a.grants) >= claim.Majority(len(holders)) {
@@ -99,7 +99,7 @@
 
 // call is what must happen at most once a key, while its claim lives.
 func (w *world) call(a *attempt, holders []string) {
-	if other, ok := w.calls[a.key]; ok && w.now-w.began[a.key] <= claim.Age {
+	if other, ok := w.calls[a.key]; ok && w.now-w.began[a.key] <= claim.TTL {
 		w.t.Fatalf("key %s was called by %s and by %s", a.key, other, a.name)
 	}
 	w.calls[a.key], w.began[a.key] = a.name, w.now
@@ -107,7 +107,7 @@
 	if rapid.Bool().Draw(w.t, "answered") {
 		for _, h := range holders {
 			if table := w.tables[h]; table != nil {
-				table.Record(w.now, a.key, a.name, []byte("call"), &claim.Result{Outcome: "done", Body: []byte(a.name)})
+				table.RecordResult(w.now, a.key, a.name, []byte("call"), &claim.Result{Outcome: "done", Body: []byte(a.name)})
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 // pull lets a box take over something.
 func (w *world) pull(process string) {
 	table := w.tables[process]
-	pulls := table.Pulls(w.now)
+	pulls := table.PendingPulls(w.now)
 	if len(pulls) == 0 {
 		return
 	}
@@ -129,8 +129,8 @@
 
 func (w *world) takeOver(table *claim.Table, p claim.Pull, from string) {
 	if source := w.tables[from]; source != nil {
-		if claims, ok := source.HandOver(w.now, p.Slot, p.Epoch); ok {
-			table.TakeOver(p.Slot, p.Epoch, from, claims)
+		if claims, ok := source.ExportClaims(w.now, p.Slot, p.Epoch); ok {
+			table.ImportClaims(p.Slot, p.Epoch, from, claims)
 		}
 	}
 }
@@ -141,8 +141,8 @@
 			if p == "" {
 				continue
 			}
-			w.tables[p].Enter(w.now, w.newest())
-			for _, pull := range w.tables[p].Pulls(w.now) {
+			w.tables[p].AdvanceEpoch(w.now, w.newest())
+			for _, pull := range w.tables[p].PendingPulls(w.now) {
 				for _, from := range pull.From {
 					w.takeOver(w.tables[p], pull, from)
 				}
@@ -162,7 +162,7 @@
 			w.ask(rapid.SampledFrom(w.attempts[max(0, len(w.attempts)-8):]).Draw(w.t, "attempt"))
 		}
 	case 7, 8:
-		w.tables[w.box("entering")].Enter(w.now, w.newest())
+		w.tables[w.box("entering")].AdvanceEpoch(w.now, w.newest())
 	case 9:
 		w.pull(w.box("pulling"))
 	case 10:
@@ -181,7 +181,7 @@
 			}
 		}
 	case 13:
-		w.now += time.Duration(rapid.IntRange(0, int(claim.Age/20)).Draw(w.t, "later"))
+		w.now += time.Duration(rapid.IntRange(0, int(claim.TTL/20)).Draw(w.t, "later"))
 	}
 }
 
@@ -217,12 +217,12 @@
 		ask := func(attempt string) (granted int, result *claim.Result) {
 			c := w.tables[w.boxes[0]].Current()
 			for _, h := range c.Holders(claim.SlotOf(key)) {
-				a := w.tables[h].Ask(w.now, key, attempt, []byte("call"), c.Number)
+				a := w.tables[h].Acquire(w.now, key, attempt, []byte("call"), c.Number)
 				if a.Verdict == claim.Granted {
 					granted++
-					w.tables[h].Record(w.now, key, attempt, []byte("call"), &claim.Result{Body: []byte(attempt)})
-				} else if a.Other != nil {
-					result = a.Other.Result
+					w.tables[h].RecordResult(w.now, key, attempt, []byte("call"), &claim.Result{Body: []byte(attempt)})
+				} else if a.Conflict != nil {
+					result = a.Conflict.Result
 				}
 			}
 			return granted, result
@@ -234,7 +234,7 @@
 			old := w.boxes[i]
 			w.boxes[i] = ""
 			w.publish()
-			w.tables[old].Enter(w.now, w.newest())
+			w.tables[old].AdvanceEpoch(w.now, w.newest())
 			w.settle()
 			w.restart(i)
 			delete(w.tables, old)
@@ -250,21 +250,21 @@
 	g := NewWithT(t)
 	one := claim.Epoch{Number: 1, Processes: []claim.Process{{ID: "a"}}}
 	table := claim.NewTable("a")
-	g.Expect(table.Ask(0, "k", "x", nil, 1).Verdict).To(Equal(claim.OtherEpoch))
-	table.Enter(0, []claim.Epoch{one})
-	g.Expect(table.Ask(0, "k", "x", []byte("d"), 2).Verdict).To(Equal(claim.OtherEpoch))
-	g.Expect(table.Ask(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted))
-	g.Expect(table.Ask(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted), "the same attempt may ask again")
-	g.Expect(table.Ask(0, "k", "y", []byte("d"), 1).Verdict).To(Equal(claim.Taken))
-	g.Expect(table.Ask(0, "k", "y", []byte("e"), 1).Verdict).To(Equal(claim.OtherCall))
+	g.Expect(table.Acquire(0, "k", "x", nil, 1).Verdict).To(Equal(claim.OtherEpoch))
+	table.AdvanceEpoch(0, []claim.Epoch{one})
+	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 2).Verdict).To(Equal(claim.OtherEpoch))
+	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted))
+	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted), "the same attempt may ask again")
+	g.Expect(table.Acquire(0, "k", "y", []byte("d"), 1).Verdict).To(Equal(claim.Taken))
+	g.Expect(table.Acquire(0, "k", "y", []byte("e"), 1).Verdict).To(Equal(claim.OtherCall))
 	table.Release("k", "x")
-	g.Expect(table.Ask(0, "k", "y", []byte("e"), 1).Verdict).To(Equal(claim.Granted))
-	table.Record(0, "k", "y", []byte("e"), &claim.Result{Status: 200})
+	g.Expect(table.Acquire(0, "k", "y", []byte("e"), 1).Verdict).To(Equal(claim.Granted))
+	table.RecordResult(0, "k", "y", []byte("e"), &claim.Result{Status: 200})
 	table.Release("k", "y")
-	a := table.Ask(claim.Age, "k", "z", []byte("e"), 1)
+	a := table.Acquire(claim.TTL, "k", "z", []byte("e"), 1)
 	g.Expect(a.Verdict).To(Equal(claim.Taken), "a claim whose call ended is not released")
-	g.Expect(a.Other.Result.Status).To(Equal(200))
-	g.Expect(table.Ask(claim.Age+1, "k", "z", []byte("e"), 1).Verdict).To(Equal(claim.Granted), "it ends by age (7)")
+	g.Expect(a.Conflict.Result.Status).To(Equal(200))
+	g.Expect(table.Acquire(claim.TTL+1, "k", "z", []byte("e"), 1).Verdict).To(Equal(claim.Granted), "it ends by age (7)")
 }
 
 // TestLostSlotWaitsForAge loses all holders at once: the next ones grant nothing
@@ -273,21 +273,21 @@
 	g := NewWithT(t)
 	epochs := []claim.Epoch{{Number: 1, Processes: []claim.Process{{ID: "a"}}}, {Number: 2, Processes: []claim.Process{{ID: "b"}}}}
 	table := claim.NewTable("b")
-	table.Enter(0, epochs)
-	g.Expect(table.Pulls(claim.Age)).To(HaveLen(claim.Slots))
-	g.Expect(table.Ask(claim.Age, "k", "x", nil, 2).Verdict).To(Equal(claim.NotReady))
-	g.Expect(table.Pulls(claim.Age + 1)).To(BeEmpty())
-	g.Expect(table.Ask(claim.Age+1, "k", "x", nil, 2).Verdict).To(Equal(claim.Granted))
+	table.AdvanceEpoch(0, epochs)
+	g.Expect(table.PendingPulls(claim.TTL)).To(HaveLen(claim.Slots))
+	g.Expect(table.Acquire(claim.TTL, "k", "x", nil, 2).Verdict).To(Equal(claim.NotReady))
+	g.Expect(table.PendingPulls(claim.TTL + 1)).To(BeEmpty())
+	g.Expect(table.Acquire(claim.TTL+1, "k", "x", nil, 2).Verdict).To(Equal(claim.Granted))
 }
 
 func TestHandOverOnlyAfterLeavingTheEpoch(t *testing.T) {
 	g := NewWithT(t)
 	one := claim.Epoch{Number: 1, Processes: []claim.Process{{ID: "a"}}}
 	table := claim.NewTable("a")
-	table.Enter(0, []claim.Epoch{one})
-	_, ok := table.HandOver(0, 0, 1)
+	table.AdvanceEpoch(0, []claim.Epoch{one})
+	_, ok := table.ExportClaims(0, 0, 1)
 	g.Expect(ok).To(BeFalse(), "it may still grant in epoch 1 (4)")
-	table.Enter(0, []claim.Epoch{one, {Number: 2, Processes: []claim.Process{{ID: "b"}}}})
-	_, ok = table.HandOver(0, 0, 1)
+	table.AdvanceEpoch(0, []claim.Epoch{one, {Number: 2, Processes: []claim.Process{{ID: "b"}}}})
+	_, ok = table.ExportClaims(0, 0, 1)
 	g.Expect(ok).To(BeTrue())
 }
--- a/control/announce.go
+++ b/control/announce.go
@@ -62,8 +62,8 @@
 	}
 	view := c.opts.Replica.View()
 	a.Cold = a.Cold && view.Level >= level.Evacuations
-	known := view.Announced.Get(a.Id)
-	if view.Outlived(a) || known == nil && strange(a, view) {
+	known := view.Announcements.Get(a.Id)
+	if view.HasNewerIncarnation(a) || known == nil && strange(a, view) {
 		return nil
 	}
 	news, differs := c.note(a, known, view)
@@ -122,8 +122,8 @@
 // contested reports whether another id that was heard lately has a server's address: one of
 // the two has ended, and its last words were late.
 func (c *Controller) contested(a *wire.Announcement, view *state.State) bool {
-	for _, id := range view.Announced.At(a.Address) {
-		if h := c.heard[id]; id != a.Id && !view.Announced.Get(id).Silent && h != nil && time.Since(h.at) < silentAfter {
+	for _, id := range view.Announcements.ByAddress(a.Address) {
+		if h := c.heard[id]; id != a.Id && !view.Announcements.Get(id).Silent && h != nil && time.Since(h.at) < silentAfter {
 			return true
 		}
 	}
@@ -141,7 +141,7 @@
 // differs reports whether a server's word on its residents has long enough been
 // another than what is agreed.
 func (c *Controller) differs(h *heard, a *wire.Announcement, view *state.State) bool {
-	if view.Orders.Any(a.Id) {
+	if view.Orders.HasOpen(a.Id) {
 		h.differs = time.Time{}
 		return false
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	agreed := map[string]bool{}
-	for p := range view.Residents.On(a.Id) {
+	for p := range view.Residents.ByServer(a.Id) {
 		if p.Adapter == "" {
 			agreed[p.Model] = true
 		}
@@ -179,7 +179,7 @@
 	}
 	view := c.opts.Replica.View()
 	for _, id := range livesOf(view, cmp.Or(w.Name, w.Id)) {
-		a := view.Announced.Get(id)
+		a := view.Announcements.Get(id)
 		if a == nil || !meant(w, a) || a.Leaving {
 			continue
 		}
@@ -237,7 +237,7 @@
 
 // unheard reports whether an announced server must not be reckoned with.
 func (c *Controller) unheard(view *state.State, id string) bool {
-	if a := view.Announced.Get(id); a == nil || a.Silent || a.Leaving {
+	if a := view.Announcements.Get(id); a == nil || a.Silent || a.Leaving {
 		return true
 	}
 	return false
@@ -251,7 +251,7 @@
 	}
 	c.expiredAt = time.Now()
 	led := time.Since(c.ledSince)
-	for id, a := range view.Announced.All() {
+	for id, a := range view.Announcements.All() {
 		silence, silent := c.silent(id, led)
 		switch {
 		case silence > forgetAfter:
--- a/control/arrivals.go
+++ b/control/arrivals.go
@@ -38,7 +38,7 @@
 
 // serverName is what all lives of a server have in common.
 func serverName(view *state.State, life string) string {
-	if a := view.Announced.Get(life); a != nil && a.Name != "" {
+	if a := view.Announcements.Get(life); a != nil && a.Name != "" {
 		return a.Name
 	}
 	return life
@@ -46,7 +46,7 @@
 
 // livesOf returns the ids of the lives of a server; an id stands for itself.
 func livesOf(view *state.State, name string) []string {
-	if ids := view.Announced.Lives(name); len(ids) > 0 {
+	if ids := view.Announcements.Incarnations(name); len(ids) > 0 {
 		return ids
 	}
 	return []string{name}
@@ -61,7 +61,7 @@
 			a.life, a.until = o.Server, now.Add(lateFor)
 		}
 	}
-	for _, id := range view.Announced.Heirs() {
+	for _, id := range view.Announcements.WithInheritedOrders() {
 		seen, ok := c.lives[id]
 		if !ok {
 			seen = now
@@ -73,13 +73,13 @@
 
 // watchLives notes when this box first saw each life of a server that began while an order was open (3). It is called whether the box leads or not.
 func (c *Controller) watchLives(view *state.State, now time.Time) {
-	for _, id := range view.Announced.Heirs() {
+	for _, id := range view.Announcements.WithInheritedOrders() {
 		if _, seen := c.lives[id]; !seen {
 			c.lives[id] = now
 		}
 	}
 	for id := range c.lives {
-		if view.Announced.Get(id) == nil {
+		if view.Announcements.Get(id) == nil {
 			delete(c.lives, id)
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 	for name, a := range c.arrivals {
 		for _, id := range livesOf(view, name) {
-			if view.Announced.Get(id) != nil && a.life != id && (a.open > 0 || now.Before(a.until)) {
+			if view.Announcements.Get(id) != nil && a.life != id && (a.open > 0 || now.Before(a.until)) {
 				held[id] = true
 			}
 		}
--- a/control/beliefs_test.go
+++ b/control/beliefs_test.go
@@ -51,8 +51,8 @@
 	now := time.Now()
 	c.ledSince = now.Add(-time.Hour)
 	st := state.New()
-	st.Announced.Set("i~2", &wire.Announcement{Id: "i~2", Heir: true})
-	st.Announced.Set("j~2", &wire.Announcement{Id: "j~2"})
+	st.Announcements.Set("i~2", &wire.Announcement{Id: "i~2", Heir: true})
+	st.Announcements.Set("j~2", &wire.Announcement{Id: "j~2"})
 	g.Expect(c.held(st, now)["i~2"]).To(BeTrue())
 	g.Expect(c.held(st, now)["j~2"]).To(BeFalse())
 	g.Expect(c.held(st, now.Add(12*time.Second))["i~2"]).To(BeTrue())
@@ -122,7 +122,7 @@
 	g := NewWithT(t)
 	c := newLeader(t)
 	st := state.New()
-	st.Announced.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
+	st.Announcements.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
 	c.looked = true // it leads since the life before
 	to := &wire.Order{Server: "i"}
 
@@ -144,7 +144,7 @@
 	c := New(Options{OrderPause: 3 * time.Second})
 	now := time.Now()
 	st := state.New()
-	st.Announced.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
+	st.Announcements.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
 	c.watchOrders(st, now)
 	c.ledSince = now.Add(10 * time.Second)
 	g.Expect(c.held(st, now.Add(lateFor-time.Second))["i~2"]).To(BeTrue())
--- a/control/contested_test.go
+++ b/control/contested_test.go
@@ -18,8 +18,8 @@
 	view := state.New()
 	before := &wire.Announcement{Id: "before", Address: "10.0.0.1:1", Silent: true}
 	after := &wire.Announcement{Id: "after", Address: "10.0.0.1:1"}
-	view.Announced.Set("before", before)
-	view.Announced.Set("after", after)
+	view.Announcements.Set("before", before)
+	view.Announcements.Set("after", after)
 	c.heard["after"] = &heard{at: time.Now(), sequence: 1}
 	word := func(sequence uint64) bool {
 		news, _ := c.note(&wire.Announcement{Id: "before", Address: "10.0.0.1:1", Sequence: sequence}, before, view)
--- a/control/counted.go
+++ b/control/counted.go
@@ -215,7 +215,7 @@
 func (x *counted) surprised(r *engine.Report) bool {
 	view := x.c.opts.Replica.View()
 	for held := range r.Holding {
-		place := ledger.Place{Server: x.order.Server, Model: held[0], Version: x.order.Item.Version}
+		place := ledger.Location{Server: x.order.Server, Model: held[0], Version: x.order.Item.Version}
 		if held[1] != "" {
 			place.Adapter = fleet.AdapterName(held[0], held[1])
 		}
@@ -228,7 +228,7 @@
 
 // believe has the server's report agreed in place of what was.
 func (c *Controller) believe(ctx context.Context, o *wire.Order, r *engine.Report) {
-	a := c.opts.Replica.View().Announced.Get(o.Server)
+	a := c.opts.Replica.View().Announcements.Get(o.Server)
 	if a == nil {
 		return
 	}
@@ -267,7 +267,7 @@
 	if o.Action != wire.OrderAction_ORDER_LOAD {
 		return false
 	}
-	if a := view.Announced.Get(o.Server); a != nil {
+	if a := view.Announcements.Get(o.Server); a != nil {
 		if o.Item.Adapter != "" {
 			return false
 		}
--- a/control/crashes.go
+++ b/control/crashes.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	for _, s := range result.Held {
+	for _, s := range result.Blocked {
 		logSuspect(event.CrasherHeld, c.opts.Log, s)
 	}
 	return nil
--- a/control/limits.go
+++ b/control/limits.go
@@ -38,7 +38,7 @@
 
 // newLimit reports whether a server's limit is to be agreed anew.
 func (c *Controller) newLimit(view *state.State, l *wire.ServerLimit, now time.Time) bool {
-	if view.Level < level.ServerLimits || !view.Knows(l.Server) || dialect.Limit(l.Milli) == view.LimitOf(l.Server) {
+	if view.Level < level.ServerLimits || !view.KnowsServer(l.Server) || dialect.Limit(l.Milli) == view.LimitOf(l.Server) {
 		return false
 	}
 	c.mu.Lock()
--- a/control/loads.go
+++ b/control/loads.go
@@ -38,7 +38,7 @@
 // heldLoad is rule 3.
 func heldLoad(view *state.State, o *wire.Order) bool {
 	return o.Action == wire.OrderAction_ORDER_LOAD && view.Crashers.AnyHeld() &&
-		view.Crashers.Holds(printOfLoad(o.Item), view.Announced.Get(o.Server).GetVersion())
+		view.Crashers.Holds(printOfLoad(o.Item), view.Announcements.Get(o.Server).GetVersion())
 }
 
 // watchLoads has loads told whose servers ended (1), and suspects that were loaded after all (2).
@@ -61,7 +61,7 @@
 func (c *Controller) loadSigns(view *state.State, now time.Time) *wire.CrashReport {
 	for id, o := range view.Orders.All() {
 		if _, known := c.loads[id]; !known && o.Action == wire.OrderAction_ORDER_LOAD {
-			c.loads[id] = &openLoad{order: o, version: view.Announced.Get(o.Server).GetVersion(), since: now}
+			c.loads[id] = &openLoad{order: o, version: view.Announcements.Get(o.Server).GetVersion(), since: now}
 		}
 	}
 	r := &wire.CrashReport{}
@@ -88,18 +88,18 @@
 
 // endedUnder reports whether an order's server has ended, and whether that is only its silence's word.
 func endedUnder(view *state.State, o *wire.Order) (ended, weak bool) {
-	if s := view.Servers.Get(o.Server); s != nil && view.Announced.Get(o.Server) == nil {
+	if s := view.Servers.Get(o.Server); s != nil && view.Announcements.Get(o.Server) == nil {
 		return s.Incarnation != o.ServerIncarnation, false // one that tells its state when asked
 	}
-	a := view.Announced.Get(o.Server)
+	a := view.Announcements.Get(o.Server)
 	if a == nil {
 		return true, false
 	}
 	if !a.Silent || a.Leaving {
 		return false, false
 	}
-	for _, id := range view.Announced.At(a.Address) {
-		if id != a.Id && !view.Announced.Get(id).Silent {
+	for _, id := range view.Announcements.ByAddress(a.Address) {
+		if id != a.Id && !view.Announcements.Get(id).Silent {
 			return true, false
 		}
 	}
@@ -111,7 +111,7 @@
 	if c.wasLoaded(printOfLoad(i)) {
 		return true
 	}
-	for _, r := range view.Residents.Of(i.Model, i.Adapter) {
+	for _, r := range view.Residents.ByItem(i.Model, i.Adapter) {
 		if r.Phase == wire.Phase_PHASE_READY && proto.Equal(r.Item, i) {
 			return true
 		}
--- a/control/loads_test.go
+++ b/control/loads_test.go
@@ -21,14 +21,16 @@
 		"it goes on":    {func(*state.State) {}, 0, 0},
 		"the load ends": {func(st *state.State) { st.Orders.Delete(7) }, 0, 0},
 		"another has its port": {func(st *state.State) {
-			st.Announced.Get("s").Silent = true
-			st.Announced.Set("t", &wire.Announcement{Id: "t", Address: "a:1"})
+			st.Announcements.Get("s").Silent = true
+			st.Announcements.Set("t", &wire.Announcement{Id: "t", Address: "a:1"})
 		}, 1, 0},
-		"another life":    {func(st *state.State) { st.Announced.Delete("s"); st.Servers.Delete("s"); st.Orders.Delete(7) }, 1, 0},
-		"it falls silent": {func(st *state.State) { st.Announced.Get("s").Silent = true }, 1, 1},
-		"it was leaving":  {func(st *state.State) { st.Announced.Get("s").Silent, st.Announced.Get("s").Leaving = true, true }, 0, 0},
+		"another life":    {func(st *state.State) { st.Announcements.Delete("s"); st.Servers.Delete("s"); st.Orders.Delete(7) }, 1, 0},
+		"it falls silent": {func(st *state.State) { st.Announcements.Get("s").Silent = true }, 1, 1},
+		"it was leaving": {func(st *state.State) {
+			st.Announcements.Get("s").Silent, st.Announcements.Get("s").Leaving = true, true
+		}, 0, 0},
 		"ready elsewhere": {func(st *state.State) {
-			st.Announced.Get("s").Silent = true
+			st.Announcements.Get("s").Silent = true
 			st.Residents.Put(&wire.Resident{Server: "u", Item: item, Phase: wire.Phase_PHASE_READY})
 		}, 0, 0},
 	} {
@@ -36,7 +38,7 @@
 			g := NewWithT(t)
 			c0 := New(Options{Log: zap.NewNop()})
 			st := state.New()
-			st.Announced.Set("s", &wire.Announcement{Id: "s", Address: "a:1", Version: "v1"})
+			st.Announcements.Set("s", &wire.Announcement{Id: "s", Address: "a:1", Version: "v1"})
 			st.Servers.Set("s", &wire.ServerState{Name: "s", Incarnation: "s"})
 			st.Orders.Set(7, &wire.Order{Id: 7, Action: wire.OrderAction_ORDER_LOAD, Server: "s", ServerIncarnation: "s", Item: item})
 			g.Expect(c0.loadSigns(st, time.Now()).Signs).To(BeEmpty())
--- a/control/notice_test.go
+++ b/control/notice_test.go
@@ -83,7 +83,7 @@
 	crash := func() {
 		_ = c.Notice(context.Background(), &wire.Forward{Box: "b", Refusing: []string{"s"}}) // seen in the state
 	}
-	silent := func() bool { return c.opts.Replica.View().Announced.Get("s").Silent }
+	silent := func() bool { return c.opts.Replica.View().Announcements.Get("s").Silent }
 	var wg sync.WaitGroup
 	for range 20 {
 		wg.Go(crash)
--- a/control/orders.go
+++ b/control/orders.go
@@ -144,7 +144,7 @@
 
 func holds(st *engine.State, o *wire.Order) bool {
 	for _, r := range st.Residents {
-		if !r.Loading && placeOf(o.Server, r) == ledger.PlaceOf(o) {
+		if !r.Loading && placeOf(o.Server, r) == ledger.OrderLocation(o) {
 			return true
 		}
 	}
@@ -153,13 +153,13 @@
 
 func loading(st *engine.State, o *wire.Order) bool {
 	for _, r := range st.Residents {
-		if r.Loading && placeOf(o.Server, r) == ledger.PlaceOf(o) {
+		if r.Loading && placeOf(o.Server, r) == ledger.OrderLocation(o) {
 			return true
 		}
 	}
 	return false
 }
 
-func placeOf(server string, r engine.Resident) ledger.Place {
-	return ledger.Place{Server: server, Accelerator: r.Accelerator, Model: r.Model, Adapter: r.Adapter, Version: r.Version}
+func placeOf(server string, r engine.Resident) ledger.Location {
+	return ledger.Location{Server: server, Accelerator: r.Accelerator, Model: r.Model, Adapter: r.Adapter, Version: r.Version}
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -36,7 +36,7 @@
 	fences      bool
 	incarnation int
 	down        bool
-	residents   map[ledger.Place]uint64
+	residents   map[ledger.Location]uint64
 	fence       uint64
 	outcomes    map[uint64]engine.Outcome
 }
@@ -45,7 +45,7 @@
 
 func (f *fake) restart() {
 	f.incarnation++
-	f.residents, f.outcomes, f.fence = map[ledger.Place]uint64{}, map[uint64]engine.Outcome{}, 0
+	f.residents, f.outcomes, f.fence = map[ledger.Location]uint64{}, map[uint64]engine.Outcome{}, 0
 }
 
 func (f *fake) report() *engine.State {
@@ -67,7 +67,7 @@
 		}
 		f.fence = o.Id
 	}
-	place := ledger.PlaceOf(o)
+	place := ledger.OrderLocation(o)
 	out := engine.Outcome{Done: true}
 	if o.Action == wire.OrderAction_ORDER_LOAD {
 		f.residents[place] = o.Memory
@@ -436,14 +436,14 @@
 		}
 	}
 	for name, m := range w.st.Fleet.Models {
-		w.wantHeld(ledger.Place{Model: name, Version: m.Version})
+		w.wantHeld(ledger.Location{Model: name, Version: m.Version})
 	}
 	for name, a := range w.st.Fleet.Adapters {
-		w.wantHeld(ledger.Place{Model: a.Model, Adapter: name, Version: a.Version})
+		w.wantHeld(ledger.Location{Model: a.Model, Adapter: name, Version: a.Version})
 	}
 }
 
-func (w *world) wantHeld(want ledger.Place) {
+func (w *world) wantHeld(want ledger.Location) {
 	for _, f := range w.servers {
 		for p := range f.residents {
 			p.Server, p.Accelerator = "", 0
--- a/control/refusing.go
+++ b/control/refusing.go
@@ -78,7 +78,7 @@
 // is not agreed the doubt stands, and the next word tries again.
 func (c *Controller) markSilent(ctx context.Context, id string, why zap.Field) {
 	view := c.opts.Replica.View()
-	a := view.Announced.Get(id)
+	a := view.Announcements.Get(id)
 	if a == nil || a.Silent || a.Leaving {
 		return
 	}
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -110,7 +110,7 @@
 		e.giveUp(w, j, result{why: why})
 		return
 	}
-	kept, err := keptAnswer(a.Other.Result)
+	kept, err := keptAnswer(a.Conflict.Result)
 	if err != nil {
 		e.giveUp(w, j, result{why: reason.KeyUnknown, detail: err.Error()})
 		return
@@ -128,13 +128,13 @@
 	switch {
 	case a.Verdict == claim.OtherCall:
 		return reason.KeyMismatch
-	case a.Verdict != claim.Taken || a.Other == nil:
+	case a.Verdict != claim.Taken || a.Conflict == nil:
 		return reason.NoClaim
-	case a.Other.Result == nil && e.opts.Guard.AgeOf(a.Other) < j.target.Class.Deadline+runningSlack:
+	case a.Conflict.Result == nil && e.opts.Guard.AgeOf(a.Conflict) < j.target.Class.Deadline+runningSlack:
 		return reason.KeyInProgress
-	case a.Other.Result == nil || a.Other.Result.Outcome == string(reason.Unknown):
+	case a.Conflict.Result == nil || a.Conflict.Result.Outcome == string(reason.Unknown):
 		return reason.KeyUnknown
-	case a.Other.Result.Outcome == keyed.OutcomeTooLarge:
+	case a.Conflict.Result.Outcome == keyed.OutcomeTooLarge:
 		return reason.KeyDone
 	}
 	return nil
--- a/gateway/crashers.go
+++ b/gateway/crashers.go
@@ -87,7 +87,7 @@
 func (g *Gateway) noteEnded(view *state.State) {
 	g.broken.Agreed(&view.Crashers)
 	for _, s := range g.broken.Waiting() {
-		switch a := view.Announced.Get(s.ID); {
+		switch a := view.Announcements.Get(s.ID); {
 		case a.GetLeaving():
 			g.broken.Left(s)
 		case a == nil, a.Silent: // it has begun another life, or is not heard
--- a/gateway/crashers_test.go
+++ b/gateway/crashers_test.go
@@ -79,7 +79,7 @@
 	view.Fleet.Routes = []*fleet.Route{{Name: "r", Host: "h.example", Prefix: "/", Kind: kind, Timeout: 5 * time.Second, MaxAttempts: 2, Split: []fleet.Share{{Pool: "s", Weight: 1}}}}
 	for i, a := range addresses {
 		id := fmt.Sprint("i", i)
-		view.Announced.Set(id, &wire.Announcement{Id: id, Service: "s", Address: a, Version: "v1", Slots: 8})
+		view.Announcements.Set(id, &wire.Announcement{Id: id, Service: "s", Address: a, Version: "v1", Slots: 8})
 	}
 	return view
 }
@@ -129,9 +129,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			view := viewOf(fleet.Unsafe, breaks(t, c.ends, nil))
-			leaves := proto.CloneOf(view.Announced.Get("i0"))
+			leaves := proto.CloneOf(view.Announcements.Get("i0"))
 			leaves.Leaving = c.leaves
-			view.Announced.Set("i0", leaves)
+			view.Announcements.Set("i0", leaves)
 			seen := &told{}
 			g.Expect(serveOne(view, seen)).To(Equal(http.StatusBadGateway))
 			if c.signs > 0 {
@@ -167,7 +167,7 @@
 	g.Expect(w.Code).To(Equal(http.StatusGatewayTimeout))
 	g.Expect(seen.signs()).To(BeZero(), "it may only be slow")
 	next := view.Clone()
-	next.Announced.Set("i0", &wire.Announcement{Id: "i0", Service: "s", Address: l.Addr().String(), Version: "v1", Slots: 8, Silent: true})
+	next.Announcements.Set("i0", &wire.Announcement{Id: "i0", Service: "s", Address: l.Addr().String(), Version: "v1", Slots: 8, Silent: true})
 	current.Store(next)
 	gate.Changed()
 	g.Expect(seen.signs()).To(Equal(1))
--- a/gateway/directory.go
+++ b/gateway/directory.go
@@ -38,19 +38,19 @@
 	pushback *pushback.Registry // nil: no server says anything of itself
 
 	mu      sync.Mutex
-	view    *state.State               // the newest
-	servers map[string]*server         // by id, that this box met
-	leaving map[string]time.Time       // since when servers leave, met or not, as this box saw it
-	loading map[ledger.Place]time.Time // the same
-	making  map[string]*making         // room, by model
-	pruned  time.Time                  // when servers that are not used were last dropped
-	count   atomic.Int64               // of boxes
+	view    *state.State                  // the newest
+	servers map[string]*server            // by id, that this box met
+	leaving map[string]time.Time          // since when servers leave, met or not, as this box saw it
+	loading map[ledger.Location]time.Time // the same
+	making  map[string]*making            // room, by model
+	pruned  time.Time                     // when servers that are not used were last dropped
+	count   atomic.Int64                  // of boxes
 	current atomic.Pointer[table]
 	changed atomic.Pointer[chan struct{}]
 }
 
 func newDirectory(hall string, parting time.Duration, said *pushback.Registry) *directory {
-	d := &directory{hall: hall, regionOf: func(string) string { return "" }, parting: parting, pushback: said, servers: map[string]*server{}, leaving: map[string]time.Time{}, loading: map[ledger.Place]time.Time{}, making: map[string]*making{}}
+	d := &directory{hall: hall, regionOf: func(string) string { return "" }, parting: parting, pushback: said, servers: map[string]*server{}, leaving: map[string]time.Time{}, loading: map[ledger.Location]time.Time{}, making: map[string]*making{}}
 	d.current.Store(&table{})
 	first := make(chan struct{})
 	d.changed.Store(&first)
@@ -101,11 +101,11 @@
 // meets them later.
 func (d *directory) noteLeaving(now time.Time) {
 	for id := range d.leaving {
-		if a := d.view.Announced.Get(id); a == nil || !a.Leaving {
+		if a := d.view.Announcements.Get(id); a == nil || !a.Leaving {
 			delete(d.leaving, id)
 		}
 	}
-	for _, id := range d.view.Announced.Leaving() {
+	for _, id := range d.view.Announcements.Draining() {
 		if _, known := d.leaving[id]; !known {
 			d.leaving[id] = now
 		}
@@ -120,7 +120,7 @@
 		d.pruned = now
 	}
 	for id, s := range d.servers {
-		a := d.view.Announced.Get(id)
+		a := d.view.Announcements.Get(id)
 		if a == nil || a.Address != s.address || prune && s.unused(now) {
 			s.conns.close()
 			delete(d.servers, id)
@@ -135,7 +135,7 @@
 	if s := d.servers[id]; s != nil {
 		return s
 	}
-	a := d.view.Announced.Get(id)
+	a := d.view.Announcements.Get(id)
 	if a == nil {
 		return nil
 	}
@@ -203,8 +203,8 @@
 		}
 	}
 	for _, o := range view.Orders.All() {
-		place := ledger.PlaceOf(o)
-		a := view.Announced.Get(o.Server)
+		place := ledger.OrderLocation(o)
+		a := view.Announcements.Get(o.Server)
 		if o.Action != wire.OrderAction_ORDER_LOAD || a == nil || t.pools[a.Service] == nil || view.Evacuated(a.Hall) {
 			continue
 		}
@@ -260,14 +260,14 @@
 const adapterTime = 300 * time.Millisecond
 
 // loadTime is how long a load is to take.
-func loadTime(view *state.State, place ledger.Place) time.Duration {
+func loadTime(view *state.State, place ledger.Location) time.Duration {
 	m := view.Fleet.Models[place.Model]
 	switch {
 	case place.Adapter != "":
 		return adapterTime
 	case m == nil:
 		return 0
-	case view.AtHand(place.Server, place.Model):
+	case view.IsCached(place.Server, place.Model):
 		return m.DiskTime
 	}
 	return m.LoadTime
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -141,7 +141,7 @@
 	s := &setup{t: t, view: state.New(), asked: func() {}}
 	s.view.Fleet, s.view.Version = f, &wire.FleetVersion{Number: 1, Index: 1}
 	for _, b := range backends {
-		s.view.Announced.Set(b.id, &wire.Announcement{Id: b.id, Service: "s", Address: b.address, Hall: "h", Slots: 8})
+		s.view.Announcements.Set(b.id, &wire.Announcement{Id: b.id, Service: "s", Address: b.address, Hall: "h", Slots: 8})
 	}
 	lines, logged := observer.New(zap.InfoLevel)
 	s.logged = logged
@@ -415,9 +415,9 @@
 	g.Expect(line).To(HaveLen(1), "who answered 404, and by which configuration, must show")
 	g.Expect(line[0].ContextMap()).To(And(HaveKeyWithValue("outcome", "unknown-route"), HaveKeyWithValue("path", "/none/x"), HaveKey("number")))
 	g.Expect(s.send(request("/safe", ""))).To(HavePrefix("HTTP/1.1 404 "), "every prefix ends with a slash; no redirect")
-	leaves := proto.CloneOf(s.view.Announced.Get("i1"))
+	leaves := proto.CloneOf(s.view.Announcements.Get("i1"))
 	leaves.Leaving = true
-	s.view.Announced.Set("i1", leaves)
+	s.view.Announcements.Set("i1", leaves)
 	s.gate.Changed()
 	answer := s.send(request("/safe/x", ""))
 	g.Expect(answer).To(HavePrefix("HTTP/1.1 503 "), "a server that leaves gets nothing")
--- a/gateway/lazy_test.go
+++ b/gateway/lazy_test.go
@@ -19,7 +19,7 @@
 	view.Fleet.Pools["p"] = &fleet.Pool{Name: "p", Kind: &fleet.Kind{}, MaxConnections: 100}
 	view.Fleet.Models["m"] = &fleet.Model{Name: "m", Pool: "p"}
 	for _, id := range ids {
-		view.Announced.Set(id, &wire.Announcement{Id: id, Service: "p", Address: "127.0.0.1:1", Slots: 4})
+		view.Announcements.Set(id, &wire.Announcement{Id: id, Service: "p", Address: "127.0.0.1:1", Slots: 4})
 		view.Residents.Put(&wire.Resident{Server: id, Item: &wire.Item{Model: "m"}, Phase: wire.Phase_PHASE_READY})
 	}
 	return view
@@ -31,7 +31,7 @@
 		g := NewWithT(t)
 		d := newDirectory("h", time.Second, nil)
 		view := poolView("i1")
-		view.Announced.Set("i1", &wire.Announcement{Id: "i1", Service: "p", Address: "127.0.0.1:1", Leaving: true})
+		view.Announcements.Set("i1", &wire.Announcement{Id: "i1", Service: "p", Address: "127.0.0.1:1", Leaving: true})
 		d.update(view)
 		time.Sleep(2 * time.Second)
 		d.update(view.Clone())
@@ -57,8 +57,8 @@
 		g.Expect(table.pools["p"].holding("n")).To(HaveLen(1))
 		g.Expect(d.servers).To(HaveLen(1))
 		next := view.Clone()
-		next.Announced.Set("i2", &wire.Announcement{Id: "i2", Service: "p", Address: "127.0.0.1:1", Silent: true})
-		next.Announced.Delete("i3")
+		next.Announcements.Set("i2", &wire.Announcement{Id: "i2", Service: "p", Address: "127.0.0.1:1", Silent: true})
+		next.Announcements.Delete("i3")
 		d.update(next)
 		g.Expect(d.servers["i2"].silent.Load()).To(BeTrue())
 		g.Expect(table.pools["p"].servers()).To(HaveLen(2), "an older table lists none that is gone")
--- a/gateway/learned_test.go
+++ b/gateway/learned_test.go
@@ -37,7 +37,7 @@
 	view.Fleet.Routes = []*fleet.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleet.Safe, Timeout: 5 * time.Second, MaxAttempts: 1, Split: []fleet.Share{{Pool: "s", Weight: 1}}}}
 	view.Version = &wire.FleetVersion{Number: 1, Index: 1}
 	address := backend.Listener.Addr().(*net.TCPAddr).String()
-	view.Announced.Set("i", &wire.Announcement{Id: "i", Service: "s", Address: address, Slots: 4})
+	view.Announcements.Set("i", &wire.Announcement{Id: "i", Service: "s", Address: address, Slots: 4})
 	gate := New(Options{
 		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true },
 		Budget: Budget{Ratio: 1, Slack: 9, Window: time.Second}, Meters: meter.New(), Log: zap.NewNop(),
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -36,7 +36,7 @@
 	if !p.made {
 		p.dir.mu.Lock()
 		defer p.dir.mu.Unlock()
-		for id := range p.view.Announced.Of(p.Name) {
+		for id := range p.view.Announcements.ByService(p.Name) {
 			p.all = p.add(p.all, id)
 		}
 		p.made = true
@@ -62,7 +62,7 @@
 	}
 	p.dir.mu.Lock()
 	defer p.dir.mu.Unlock()
-	for id := range p.view.Residents.Of(model, adapter) {
+	for id := range p.view.Residents.ByItem(model, adapter) {
 		if bases[id.Server] {
 			delete(bases, id.Server) // each server once
 			list = p.add(list, id.Server)
@@ -75,8 +75,8 @@
 // readyOn returns the servers of the service where an item is ready, of some or, where these are nil, of all.
 func (p *pool) readyOn(model, adapter string, of map[string]bool) map[string]bool {
 	on := map[string]bool{}
-	for place, r := range p.view.Residents.Of(model, adapter) {
-		if r.Phase == wire.Phase_PHASE_READY && (of == nil || of[place.Server]) && p.view.Announced.Get(place.Server).GetService() == p.Name {
+	for place, r := range p.view.Residents.ByItem(model, adapter) {
+		if r.Phase == wire.Phase_PHASE_READY && (of == nil || of[place.Server]) && p.view.Announcements.Get(place.Server).GetService() == p.Name {
 			on[place.Server] = true
 		}
 	}
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -17,7 +17,7 @@
 	breaks := newBackend(t, "i1", func(net.Conn, string) bool { return false })
 	away := newBackend(t, "i2", ok)
 	s := newSetup(t, 2*time.Second, breaks, away)
-	s.view.Announced.Get("i2").Hall = "k"
+	s.view.Announcements.Get("i2").Hall = "k"
 	s.view.Evacuations["k"] = &wire.Evacuation{Hall: "k"}
 	s.gate.Changed()
 	for range 4 {
@@ -40,7 +40,7 @@
 	g := NewWithT(t)
 	near, far := newBackend(t, "i1", ok), newBackend(t, "i2", ok)
 	s := newSetup(t, 2*time.Second, near, far)
-	s.view.Announced.Get("i2").Hall = "k"
+	s.view.Announcements.Get("i2").Hall = "k"
 	s.gate.Changed()
 	for _, r := range s.view.Fleet.Routes {
 		r.Regions = []string{"region-of-k", "region-of-none"}
--- a/keyed/keyed.go
+++ b/keyed/keyed.go
@@ -101,7 +101,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Enter(g.now(), epochs)
+	g.table.AdvanceEpoch(g.now(), epochs)
 }
 
 // Acquire claims a key for an attempt. Granted means that the attempt may call;
@@ -155,7 +155,7 @@
 		case claim.Granted:
 			granted++
 		case claim.Taken, claim.OtherCall:
-			if against.Other == nil || against.Other.Result == nil {
+			if against.Conflict == nil || against.Conflict.Result == nil {
 				against = a
 			}
 		}
@@ -170,7 +170,7 @@
 	if holder == g.self {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return g.table.Ask(g.now(), key, attempt, digest, epoch)
+		return g.table.Acquire(g.now(), key, attempt, digest, epoch)
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -183,7 +183,7 @@
 	a := response.GetClaim()
 	answer := claim.Answer{Verdict: claim.Verdict(a.Verdict), Epoch: a.Epoch}
 	if a.Other != nil {
-		answer.Other = g.fromRecord(a.Other)
+		answer.Conflict = g.fromRecord(a.Other)
 	}
 	return answer
 }
@@ -243,13 +243,13 @@
 		g.table.Release(e.Key, e.Attempt)
 		return
 	}
-	g.table.Record(g.now(), e.Key, e.Attempt, e.Digest, fromResult(e.Result))
+	g.table.RecordResult(g.now(), e.Key, e.Attempt, e.Digest, fromResult(e.Result))
 }
 
 // pull asks for what this box still has to take over, one question a holder.
 func (g *Guard) pull(ctx context.Context) {
 	g.mu.Lock()
-	pulls := g.pace.due(g.now(), g.table.Pulls(g.now()))
+	pulls := g.pace.due(g.now(), g.table.PendingPulls(g.now()))
 	g.mu.Unlock()
 	byHolder := map[string][]*wire.SlotPull{}
 	for _, p := range pulls {
@@ -278,7 +278,7 @@
 		for _, r := range s.Claims {
 			claims = append(claims, g.fromRecord(r))
 		}
-		g.table.TakeOver(int(s.Slot), s.Epoch, holder, claims)
+		g.table.ImportClaims(int(s.Slot), s.Epoch, holder, claims)
 	}
 }
 
@@ -302,10 +302,10 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	a := g.table.Ask(g.now(), c.Key, c.Attempt, c.Digest, c.Epoch)
+	a := g.table.Acquire(g.now(), c.Key, c.Attempt, c.Digest, c.Epoch)
 	answer := &wire.ClaimAnswer{Verdict: string(a.Verdict), Epoch: a.Epoch}
-	if a.Other != nil {
-		answer.Other = g.toRecord(a.Other)
+	if a.Conflict != nil {
+		answer.Other = g.toRecord(a.Conflict)
 	}
 	return answer
 }
@@ -318,7 +318,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range p.Slots {
-		claims, ok := g.table.HandOver(g.now(), int(s.Slot), s.Epoch)
+		claims, ok := g.table.ExportClaims(g.now(), int(s.Slot), s.Epoch)
 		if !ok {
 			continue
 		}
@@ -342,7 +342,7 @@
 }
 
 func (g *Guard) toRecord(c *claim.Claim) *wire.ClaimRecord {
-	r := &wire.ClaimRecord{Key: c.Key, Attempt: c.Attempt, Digest: c.Digest, AgeMs: uint32((g.now() - c.Began).Milliseconds())}
+	r := &wire.ClaimRecord{Key: c.Key, Attempt: c.Attempt, Digest: c.Digest, AgeMs: uint32((g.now() - c.CreatedAt).Milliseconds())}
 	if c.Result != nil {
 		r.Result = &wire.CallResult{Outcome: c.Result.Outcome, Status: uint32(c.Result.Status), Header: c.Result.Header, Body: c.Result.Body}
 	}
@@ -350,7 +350,7 @@
 }
 
 func (g *Guard) fromRecord(r *wire.ClaimRecord) *claim.Claim {
-	c := &claim.Claim{Key: r.Key, Attempt: r.Attempt, Digest: r.Digest, Began: g.now() - time.Duration(r.AgeMs)*time.Millisecond}
+	c := &claim.Claim{Key: r.Key, Attempt: r.Attempt, Digest: r.Digest, CreatedAt: g.now() - time.Duration(r.AgeMs)*time.Millisecond}
 	if r.Result != nil {
 		c.Result = fromResult(r.Result)
 	}
@@ -362,4 +362,4 @@
 }
 
 // AgeOf returns how long ago a claim was made.
-func (g *Guard) AgeOf(c *claim.Claim) time.Duration { return g.now() - c.Began }
+func (g *Guard) AgeOf(c *claim.Claim) time.Duration { return g.now() - c.CreatedAt }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -37,8 +37,8 @@
 // Error is the class of this package's errors: an order that must not be issued.
 var Error = errs.Class("ledger")
 
-// Place is where an item stands.
-type Place struct {
+// Location is where an item stands.
+type Location struct {
 	Server      string
 	Accelerator uint32
 	Model       string
@@ -46,50 +46,50 @@
 	Version     string
 }
 
-// PlaceOf returns the place that an order is about.
-func PlaceOf(o *wire.Order) Place {
-	return Place{o.Server, o.Accelerator, o.Item.GetModel(), o.Item.GetAdapter(), o.Item.GetVersion()}
+// OrderLocation returns the place that an order is about.
+func OrderLocation(o *wire.Order) Location {
+	return Location{o.Server, o.Accelerator, o.Item.GetModel(), o.Item.GetAdapter(), o.Item.GetVersion()}
 }
 
-// PlaceOfResident returns the place of a resident item.
-func PlaceOfResident(r *wire.Resident) Place {
-	return Place{r.Server, r.Accelerator, r.Item.GetModel(), r.Item.GetAdapter(), r.Item.GetVersion()}
+// ResidentLocation returns the place of a resident item.
+func ResidentLocation(r *wire.Resident) Location {
+	return Location{r.Server, r.Accelerator, r.Item.GetModel(), r.Item.GetAdapter(), r.Item.GetVersion()}
 }
 
-// Book is what an order is checked against.
-type Book struct {
+// Inventory is what an order is checked against.
+type Inventory struct {
 	// Fleet is the file in force.
 	Fleet *fleet.Fleet
-	// Joined are the model servers that announced themselves for a pool of the file, by name.
-	Joined    *cow.Map[string, *fleet.Server]
-	Servers   *cow.Map[string, *wire.ServerState]
-	Residents *Residents
-	Orders    *Orders
+	// PoolServers are the model servers that announced themselves for a pool of the file, by name.
+	PoolServers *cow.Map[string, *fleet.Server]
+	Servers     *cow.Map[string, *wire.ServerState]
+	Residents   *Residents
+	Orders      *Orders
 	// Evacuations are the data halls whose servers get nothing, by name.
 	Evacuations map[string]*wire.Evacuation
 }
 
-// NewBook returns an empty one.
-func NewBook() Book {
-	return Book{
-		Joined: cow.New[string, *fleet.Server](), Servers: cow.New[string, *wire.ServerState](), Residents: NewResidents(), Orders: NewOrders(),
+// NewInventory returns an empty one.
+func NewInventory() Inventory {
+	return Inventory{
+		PoolServers: cow.New[string, *fleet.Server](), Servers: cow.New[string, *wire.ServerState](), Residents: NewResidents(), Orders: NewOrders(),
 		Evacuations: map[string]*wire.Evacuation{},
 	}
 }
 
 // Clone returns a copy that does not change with the original.
-func (b *Book) Clone() Book {
+func (b *Inventory) Clone() Inventory {
 	c := *b
-	c.Joined, c.Servers = b.Joined.Clone(), b.Servers.Clone()
+	c.PoolServers, c.Servers = b.PoolServers.Clone(), b.Servers.Clone()
 	c.Residents, c.Orders = b.Residents.Clone(), b.Orders.Clone()
 	c.Evacuations = maps.Clone(b.Evacuations)
 	return c
 }
 
-// Used returns the bytes counted on an accelerator (1).
-func (b *Book) Used(server string, accelerator uint32) uint64 {
+// UsedBytes returns the bytes counted on an accelerator (1).
+func (b *Inventory) UsedBytes(server string, accelerator uint32) uint64 {
 	sum := uint64(0)
-	for p, r := range b.Residents.On(server) {
+	for p, r := range b.Residents.ByServer(server) {
 		if p.Accelerator == accelerator {
 			sum += r.Memory
 		}
@@ -98,7 +98,7 @@
 }
 
 // Check says why an order must not be issued, nil when it may be (2).
-func (b *Book) Check(o *wire.Order) error {
+func (b *Inventory) Check(o *wire.Order) error {
 	s := b.Server(o.Server)
 	if s == nil {
 		return Error.New("server %s is not in the fleet", o.Server)
@@ -122,24 +122,24 @@
 }
 
 // Server returns a model server that the fleet file names or that announced itself, nil where there is none.
-func (b *Book) Server(name string) *fleet.Server {
+func (b *Inventory) Server(name string) *fleet.Server {
 	if b.Fleet == nil {
 		return nil
 	}
 	if s := b.Fleet.Servers[name]; s != nil {
 		return s
 	}
-	return b.Joined.Get(name)
+	return b.PoolServers.Get(name)
 }
 
 // AllServers returns the model servers by name.
-func (b *Book) AllServers() []*fleet.Server {
+func (b *Inventory) AllServers() []*fleet.Server {
 	if b.Fleet == nil {
 		return nil
 	}
 	named := b.Fleet.SortedServers()
-	list := make([]*fleet.Server, 0, len(named)+b.Joined.Len())
-	for name, s := range b.Joined.All() {
+	list := make([]*fleet.Server, 0, len(named)+b.PoolServers.Len())
+	for name, s := range b.PoolServers.All() {
 		for len(named) > 0 && named[0].Name <= name {
 			list, named = append(list, named[0]), named[1:]
 		}
@@ -151,13 +151,13 @@
 }
 
 // checkOpen is rule 3.
-func (b *Book) checkOpen(s *fleet.Server, o *wire.Order) error {
-	place := PlaceOf(o)
-	for open := range b.Orders.On(o.Server) {
+func (b *Inventory) checkOpen(s *fleet.Server, o *wire.Order) error {
+	place := OrderLocation(o)
+	for open := range b.Orders.ByServer(o.Server) {
 		if open.Accelerator != o.Accelerator {
 			continue
 		}
-		if PlaceOf(open) == place || !s.Kind.ChecksFences {
+		if OrderLocation(open) == place || !s.Kind.ChecksFences {
 			return Error.New("order %d is open on accelerator %d of server %s", open.Id, open.Accelerator, open.Server)
 		}
 	}
@@ -165,22 +165,22 @@
 }
 
 // Evacuated reports whether the servers of a data hall get nothing.
-func (b *Book) Evacuated(hall string) bool { return b.Evacuations[hall] != nil }
+func (b *Inventory) Evacuated(hall string) bool { return b.Evacuations[hall] != nil }
 
-func (b *Book) checkLoad(s *fleet.Server, o *wire.Order) error {
+func (b *Inventory) checkLoad(s *fleet.Server, o *wire.Order) error {
 	if s.Leaving || b.Servers.Get(o.Server).Leaving {
 		return Error.New("server %s is leaving", o.Server)
 	}
 	if b.Evacuated(s.Hall) { // (8)
 		return Error.New("data hall %s of server %s is evacuated", s.Hall, o.Server)
 	}
-	if b.Residents.Get(PlaceOf(o)) != nil {
+	if b.Residents.Get(OrderLocation(o)) != nil {
 		return Error.New("%s is resident there already", Describe(o.Item))
 	}
 	if o.Memory == 0 {
 		return Error.New("%s has no size", Describe(o.Item))
 	}
-	used := b.Used(o.Server, o.Accelerator)
+	used := b.UsedBytes(o.Server, o.Accelerator)
 	if usable := s.Kind.Usable(); used > usable || o.Memory > usable-used {
 		return Error.New("accelerator %d of server %s has %d of %d bytes counted, %s takes %d", o.Accelerator, o.Server, used, usable, Describe(o.Item), o.Memory)
 	}
@@ -191,19 +191,19 @@
 }
 
 // checkSlots is rule 7.
-func (b *Book) checkSlots(s *fleet.Server, o *wire.Order) error {
+func (b *Inventory) checkSlots(s *fleet.Server, o *wire.Order) error {
 	if o.Item.Adapter == "" || s.Kind.AdapterSlots == 0 {
 		return nil
 	}
-	if used := b.Adapters(o.Server, o.Accelerator); used >= s.Kind.AdapterSlots {
+	if used := b.AdapterCount(o.Server, o.Accelerator); used >= s.Kind.AdapterSlots {
 		return Error.New("accelerator %d of server %s has %d of %d adapter slots taken", o.Accelerator, o.Server, used, s.Kind.AdapterSlots)
 	}
 	return nil
 }
 
-// Adapters counts the adapters on an accelerator, in whatever phase (7).
-func (b *Book) Adapters(server string, accelerator uint32) (n int) {
-	for p := range b.Residents.On(server) {
+// AdapterCount counts the adapters on an accelerator, in whatever phase (7).
+func (b *Inventory) AdapterCount(server string, accelerator uint32) (n int) {
+	for p := range b.Residents.ByServer(server) {
 		if p.Accelerator == accelerator && p.Adapter != "" {
 			n++
 		}
@@ -212,11 +212,11 @@
 }
 
 // checkBase wants an adapter's model ready on the same accelerator.
-func (b *Book) checkBase(o *wire.Order) error {
+func (b *Inventory) checkBase(o *wire.Order) error {
 	if o.Item.Adapter == "" {
 		return nil
 	}
-	for p, r := range b.Residents.On(o.Server) {
+	for p, r := range b.Residents.ByServer(o.Server) {
 		if p.Accelerator == o.Accelerator && p.Model == o.Item.Model && p.Adapter == "" && r.Phase == wire.Phase_PHASE_READY {
 			return nil
 		}
@@ -224,8 +224,8 @@
 	return Error.New("model %s is not ready beside %s", o.Item.Model, Describe(o.Item))
 }
 
-func (b *Book) checkUnload(o *wire.Order) error {
-	r := b.Residents.Get(PlaceOf(o))
+func (b *Inventory) checkUnload(o *wire.Order) error {
+	r := b.Residents.Get(OrderLocation(o))
 	if r == nil {
 		return Error.New("%s is not resident there", Describe(o.Item))
 	}
@@ -235,29 +235,29 @@
 	if a := b.Fleet.Adapters[o.Item.Adapter]; a != nil && a.OnDemand { // (4)
 		return nil
 	}
-	if b.Wanted(o.Item) && !b.ReadyElsewhere(PlaceOf(o)) && !b.AtHand(o.Server, o.Item.GetModel()) { // (4)
+	if b.Wanted(o.Item) && !b.ReadyElsewhere(OrderLocation(o)) && !b.IsCached(o.Server, o.Item.GetModel()) { // (4)
 		return Error.New("%s has no other ready copy", Describe(o.Item))
 	}
-	if adapter := b.Stranded(PlaceOf(o)); adapter != "" { // (4)
+	if adapter := b.OrphanedAdapter(OrderLocation(o)); adapter != "" { // (4)
 		return Error.New("adapter %s beside it has no other ready copy", adapter)
 	}
 	return nil
 }
 
-// AtHand reports whether a server can load a model from its own memory or disk.
-func (b *Book) AtHand(server, model string) bool {
+// IsCached reports whether a server can load a model from its own memory or disk.
+func (b *Inventory) IsCached(server, model string) bool {
 	return slices.Contains(b.Servers.Get(server).GetAtHand(), model)
 }
 
-// Stranded returns an adapter that no ready copy would serve any more if the
+// OrphanedAdapter returns an adapter that no ready copy would serve any more if the
 // model at the place were gone, "" when there is none.
-func (b *Book) Stranded(place Place) string {
+func (b *Inventory) OrphanedAdapter(place Location) string {
 	m := b.Fleet.Models[place.Model]
 	if place.Adapter != "" || m == nil {
 		return ""
 	}
 	for _, a := range m.Adapters {
-		beside := Place{place.Server, place.Accelerator, place.Model, a.Name, a.Version}
+		beside := Location{place.Server, place.Accelerator, place.Model, a.Name, a.Version}
 		if b.Residents.Get(beside).GetPhase() == wire.Phase_PHASE_READY && !b.ReadyElsewhere(beside) {
 			return a.Name
 		}
@@ -267,7 +267,7 @@
 
 // Wanted reports whether the fleet file names the item's model or adapter, in
 // whatever version.
-func (b *Book) Wanted(item *wire.Item) bool {
+func (b *Inventory) Wanted(item *wire.Item) bool {
 	if item.Adapter != "" {
 		return b.Fleet.Adapters[item.Adapter] != nil
 	}
@@ -277,8 +277,8 @@
 // ReadyElsewhere reports whether another copy of the item is ready on a server
 // that takes work. A copy of an old version is replaced by one of the wanted
 // version only.
-func (b *Book) ReadyElsewhere(place Place) bool {
-	for p, r := range b.Residents.Of(place.Model, place.Adapter) {
+func (b *Inventory) ReadyElsewhere(place Location) bool {
+	for p, r := range b.Residents.ByItem(place.Model, place.Adapter) {
 		if p == place || r.Phase != wire.Phase_PHASE_READY {
 			continue
 		}
@@ -293,7 +293,7 @@
 }
 
 // version returns the version that the fleet file wants of a place's item.
-func (b *Book) version(p Place) string {
+func (b *Inventory) version(p Location) string {
 	if p.Adapter != "" {
 		if a := b.Fleet.Adapters[p.Adapter]; a != nil {
 			return a.Version
--- a/ledger/orders.go
+++ b/ledger/orders.go
@@ -53,8 +53,8 @@
 // All goes over the open orders by id.
 func (o *Orders) All() iter.Seq2[uint64, *wire.Order] { return o.byID.All() }
 
-// On goes over the open orders to a server.
-func (o *Orders) On(server string) iter.Seq[*wire.Order] {
+// ByServer goes over the open orders to a server.
+func (o *Orders) ByServer(server string) iter.Seq[*wire.Order] {
 	return func(yield func(*wire.Order) bool) {
 		for key, order := range o.byServer.From(serverOrder{server: server}) {
 			if key.server != server || !yield(order) {
@@ -64,9 +64,9 @@
 	}
 }
 
-// Any reports whether an order to a server is open.
-func (o *Orders) Any(server string) bool {
-	for range o.On(server) {
+// HasOpen reports whether an order to a server is open.
+func (o *Orders) HasOpen(server string) bool {
+	for range o.ByServer(server) {
 		return true
 	}
 	return false
@@ -75,7 +75,7 @@
 // Clear closes all orders to a server.
 func (o *Orders) Clear(server string) {
 	var ids []uint64
-	for order := range o.On(server) {
+	for order := range o.ByServer(server) {
 		ids = append(ids, order.Id)
 	}
 	for _, id := range ids {
--- a/ledger/residents.go
+++ b/ledger/residents.go
@@ -40,8 +40,8 @@
 	return cmp.Or(cmp.Compare(a.accelerator, b.accelerator), strings.Compare(a.version, b.version))
 }
 
-// ComparePlaces orders places by server first.
-func ComparePlaces(a, b Place) int {
+// CompareLocations orders places by server first.
+func CompareLocations(a, b Location) int {
 	if c := strings.Compare(a.Server, b.Server); c != 0 {
 		return c
 	}
@@ -57,12 +57,12 @@
 }
 
 // find returns where a place is, or would be, on a shelf.
-func find(shelf []*wire.Resident, p Place) (int, bool) {
-	return slices.BinarySearchFunc(shelf, p, func(r *wire.Resident, p Place) int { return ComparePlaces(PlaceOfResident(r), p) })
+func find(shelf []*wire.Resident, p Location) (int, bool) {
+	return slices.BinarySearchFunc(shelf, p, func(r *wire.Resident, p Location) int { return CompareLocations(ResidentLocation(r), p) })
 }
 
 // Get returns what stands at a place, nil for nothing.
-func (r *Residents) Get(p Place) *wire.Resident {
+func (r *Residents) Get(p Location) *wire.Resident {
 	shelf := r.shelves.Get(p.Server)
 	if i, ok := find(shelf, p); ok {
 		return shelf[i]
@@ -72,7 +72,7 @@
 
 // Put puts an item at its place.
 func (r *Residents) Put(resident *wire.Resident) {
-	p := PlaceOfResident(resident)
+	p := ResidentLocation(resident)
 	shelf := slices.Clone(r.shelves.Get(p.Server))
 	if i, ok := find(shelf, p); ok {
 		shelf[i] = resident
@@ -91,7 +91,7 @@
 }
 
 // Delete clears a place.
-func (r *Residents) Delete(p Place) {
+func (r *Residents) Delete(p Location) {
 	shelf := r.shelves.Get(p.Server)
 	i, ok := find(shelf, p)
 	if !ok {
@@ -117,11 +117,11 @@
 func (r *Residents) Len() int { return r.count }
 
 // All goes over them in the order of places.
-func (r *Residents) All() iter.Seq2[Place, *wire.Resident] {
-	return func(yield func(Place, *wire.Resident) bool) {
+func (r *Residents) All() iter.Seq2[Location, *wire.Resident] {
+	return func(yield func(Location, *wire.Resident) bool) {
 		for _, shelf := range r.shelves.All() {
 			for _, resident := range shelf {
-				if !yield(PlaceOfResident(resident), resident) {
+				if !yield(ResidentLocation(resident), resident) {
 					return
 				}
 			}
@@ -129,26 +129,26 @@
 	}
 }
 
-// On goes over what stands on a server.
-func (r *Residents) On(server string) iter.Seq2[Place, *wire.Resident] {
-	return func(yield func(Place, *wire.Resident) bool) {
+// ByServer goes over what stands on a server.
+func (r *Residents) ByServer(server string) iter.Seq2[Location, *wire.Resident] {
+	return func(yield func(Location, *wire.Resident) bool) {
 		for _, resident := range r.shelves.Get(server) {
-			if !yield(PlaceOfResident(resident), resident) {
+			if !yield(ResidentLocation(resident), resident) {
 				return
 			}
 		}
 	}
 }
 
-// Of goes over the places of a model, or of an adapter of it, in whatever version, by server.
-func (r *Residents) Of(model, adapter string) iter.Seq2[Place, *wire.Resident] {
-	return func(yield func(Place, *wire.Resident) bool) {
+// ByItem goes over the places of a model, or of an adapter of it, in whatever version, by server.
+func (r *Residents) ByItem(model, adapter string) iter.Seq2[Location, *wire.Resident] {
+	return func(yield func(Location, *wire.Resident) bool) {
 		copies := r.items.Get(itemKey{model, adapter})
 		if copies == nil {
 			return
 		}
 		for _, resident := range copies.All() {
-			if !yield(PlaceOfResident(resident), resident) {
+			if !yield(ResidentLocation(resident), resident) {
 				return
 			}
 		}
@@ -156,9 +156,9 @@
 }
 
 // Clear clears the places of a server for which a condition holds; nil: all of them.
-func (r *Residents) Clear(server string, which func(Place) bool) {
+func (r *Residents) Clear(server string, which func(Location) bool) {
 	for _, resident := range r.shelves.Get(server) {
-		if p := PlaceOfResident(resident); which == nil || which(p) {
+		if p := ResidentLocation(resident); which == nil || which(p) {
 			r.Delete(p)
 		}
 	}
--- a/ledger/residents_test.go
+++ b/ledger/residents_test.go
@@ -16,9 +16,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type one struct {
 			have *ledger.Residents
-			want map[ledger.Place]*wire.Resident
+			want map[ledger.Location]*wire.Resident
 		}
-		all := []one{{ledger.NewResidents(), map[ledger.Place]*wire.Resident{}}}
+		all := []one{{ledger.NewResidents(), map[ledger.Location]*wire.Resident{}}}
 		draw := func(name string, n int) string {
 			return fmt.Sprint(name, rapid.IntRange(0, n).Draw(t, name))
 		}
@@ -32,28 +32,28 @@
 			case 0:
 				all = append(all, one{x.have.Clone(), maps.Clone(x.want)})
 			case 1:
-				x.have.Delete(ledger.PlaceOfResident(r))
-				delete(x.want, ledger.PlaceOfResident(r))
+				x.have.Delete(ledger.ResidentLocation(r))
+				delete(x.want, ledger.ResidentLocation(r))
 			case 2:
-				x.have.Clear(r.Server, func(p ledger.Place) bool { return p.Model == r.Item.Model })
-				maps.DeleteFunc(x.want, func(p ledger.Place, _ *wire.Resident) bool {
+				x.have.Clear(r.Server, func(p ledger.Location) bool { return p.Model == r.Item.Model })
+				maps.DeleteFunc(x.want, func(p ledger.Location, _ *wire.Resident) bool {
 					return p.Server == r.Server && p.Model == r.Item.Model
 				})
 			default:
 				x.have.Put(r)
-				x.want[ledger.PlaceOfResident(r)] = r
+				x.want[ledger.ResidentLocation(r)] = r
 			}
 		}
 		for _, x := range all {
-			byServer, byItem := map[ledger.Place]*wire.Resident{}, map[ledger.Place]*wire.Resident{}
+			byServer, byItem := map[ledger.Location]*wire.Resident{}, map[ledger.Location]*wire.Resident{}
 			for p, r := range x.want {
 				if x.have.Get(p) != r {
 					t.Fatalf("%v is not found", p)
 				}
-				maps.Insert(byServer, x.have.On(p.Server))
-				maps.Insert(byItem, x.have.Of(p.Model, p.Adapter))
+				maps.Insert(byServer, x.have.ByServer(p.Server))
+				maps.Insert(byItem, x.have.ByItem(p.Model, p.Adapter))
 			}
-			for how, got := range map[string]map[ledger.Place]*wire.Resident{"all": maps.Collect(x.have.All()), "by server": byServer, "by item": byItem} {
+			for how, got := range map[string]map[ledger.Location]*wire.Resident{"all": maps.Collect(x.have.All()), "by server": byServer, "by item": byItem} {
 				if !maps.Equal(got, x.want) {
 					t.Fatalf("%s: %v, not %v", how, got, x.want)
 				}
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -432,10 +432,10 @@
 			ready++
 		}
 	}
-	place := ledger.Place{Server: a.server.Name, Accelerator: a.number, Model: name, Version: m.Version}
+	place := ledger.Location{Server: a.server.Name, Accelerator: a.number, Model: name, Version: m.Version}
 	enough := ready >= 1 && (which&forFirst != 0 || all > p.least(m))
 	spare := enough || which&forAsked != 0 && all == 1 && p.atHand(m, a) && !p.in.Wanted[name] && p.in.Demand[name].Requests < rareBelow && (p.in.Idle[name] || p.steady(m) < rareBelow) // (14, 15)
-	return here, found && spare && p.settled(m, a) && p.in.State.Stranded(place) == ""
+	return here, found && spare && p.settled(m, a) && p.in.State.OrphanedAdapter(place) == ""
 }
 
 // returns reports whether a model without a copy comes back when that is worth it (15).
@@ -443,7 +443,7 @@
 
 // settled reports whether nothing of the model is being moved on an accelerator.
 func (p *planner) settled(m *fleet.Model, a *accelerator) bool {
-	for o := range p.in.State.Orders.On(a.server.Name) {
+	for o := range p.in.State.Orders.ByServer(a.server.Name) {
 		if o.Accelerator == a.number && o.Item.Model == m.Name {
 			return false
 		}
--- a/placement/ondemand.go
+++ b/placement/ondemand.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *planner) evictable(acc *accelerator, place ledger.Place, r *wire.Resident) bool {
+func (p *planner) evictable(acc *accelerator, place ledger.Location, r *wire.Resident) bool {
 	return place.Server == acc.server.Name && place.Accelerator == acc.number && place.Adapter != "" &&
 		r.Phase == wire.Phase_PHASE_READY && !p.in.Wanted[place.Adapter]
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -170,7 +170,7 @@
 	fleet  *fleet.Fleet
 	models []*fleet.Model // sorted
 	// places and residents are what is resident, in the order of places.
-	places    []ledger.Place
+	places    []ledger.Location
 	residents []*wire.Resident
 	accs      []*accelerator
 	index     map[string][]*accelerator
@@ -296,7 +296,7 @@
 	}
 }
 
-func (p *planner) reserveAdapters(acc *accelerator, place ledger.Place) {
+func (p *planner) reserveAdapters(acc *accelerator, place ledger.Location) {
 	m := p.fleet.Models[place.Model]
 	if m == nil || m.Version != place.Version {
 		return
@@ -308,8 +308,8 @@
 	}
 }
 
-func adapterPlace(acc *accelerator, a *fleet.Adapter) ledger.Place {
-	return ledger.Place{Server: acc.server.Name, Accelerator: acc.number, Model: a.Model, Adapter: a.Name, Version: a.Version}
+func adapterPlace(acc *accelerator, a *fleet.Adapter) ledger.Location {
+	return ledger.Location{Server: acc.server.Name, Accelerator: acc.number, Model: a.Model, Adapter: a.Name, Version: a.Version}
 }
 
 func (p *planner) order(acc *accelerator, action wire.OrderAction, item *wire.Item, memory uint64, why string) {
@@ -339,7 +339,7 @@
 	}
 }
 
-func (p *planner) unloadUnwanted(place ledger.Place, r *wire.Resident) {
+func (p *planner) unloadUnwanted(place ledger.Location, r *wire.Resident) {
 	acc := p.acc(place)
 	if r.Phase != wire.Phase_PHASE_READY || acc == nil || acc.busy {
 		return
@@ -349,7 +349,7 @@
 	}
 }
 
-func (p *planner) acc(place ledger.Place) *accelerator {
+func (p *planner) acc(place ledger.Location) *accelerator {
 	list := p.index[place.Server]
 	if int(place.Accelerator) >= len(list) {
 		return nil
@@ -358,14 +358,14 @@
 }
 
 // hasBase reports whether a copy of an adapter's model stays on its accelerator.
-func (p *planner) hasBase(place ledger.Place) bool {
+func (p *planner) hasBase(place ledger.Location) bool {
 	acc := p.acc(place)
 	return slices.ContainsFunc(p.copies[place.Model], func(c copyOf) bool {
 		return c.acc == acc && c.resident.Phase != wire.Phase_PHASE_UNLOADING
 	})
 }
 
-func (p *planner) unwanted(place ledger.Place) string {
+func (p *planner) unwanted(place ledger.Location) string {
 	if place.Adapter != "" {
 		a := p.fleet.Adapters[place.Adapter]
 		if a != nil && a.OnDemand {
@@ -385,7 +385,7 @@
 	switch {
 	case m == nil:
 		return "not in the fleet file any more"
-	case m.Version != place.Version && p.in.State.ReadyElsewhere(place) && p.in.State.Stranded(place) == "":
+	case m.Version != place.Version && p.in.State.ReadyElsewhere(place) && p.in.State.OrphanedAdapter(place) == "":
 		return "version " + m.Version + " is ready"
 	}
 	return ""
--- a/placement/rest_test.go
+++ b/placement/rest_test.go
@@ -145,8 +145,8 @@
 // room returns the bytes of a server that last copies leave: what another model's
 // second copy takes counts as room.
 func (f *fullFleet) room(server string) uint64 {
-	book := &ledger.Book{Fleet: f.st.Fleet, Servers: f.st.Servers, Residents: f.st.Residents, Orders: f.st.Orders}
-	room := serverGiB<<30 - book.Used(server, 0)
+	book := &ledger.Inventory{Fleet: f.st.Fleet, Servers: f.st.Servers, Residents: f.st.Residents, Orders: f.st.Orders}
+	room := serverGiB<<30 - book.UsedBytes(server, 0)
 	for m, size := range f.sizes {
 		if on := f.serving(m); len(on) > 1 && slices.Contains(on, server) {
 			room += uint64(size) << 30
--- a/placement/short_test.go
+++ b/placement/short_test.go
@@ -81,7 +81,7 @@
 }
 
 func (f *shortFleet) stands(model string) bool {
-	for _, r := range f.st.Residents.Of(model, "") {
+	for _, r := range f.st.Residents.ByItem(model, "") {
 		return r.Phase == wire.Phase_PHASE_READY
 	}
 	return false
@@ -125,10 +125,10 @@
 	g := NewWithT(t)
 	f := newShortFleet(t)
 	back := modelOf(0)
-	f.st.Residents.Delete(ledger.Place{Server: "s0", Model: back, Version: "1"})
+	f.st.Residents.Delete(ledger.Location{Server: "s0", Model: back, Version: "1"})
 	for i := range shortStore { // open loads elsewhere
 		server := fmt.Sprint("s", 4+i)
-		f.st.Residents.Delete(ledger.Place{Server: server, Model: modelOf(shortPlaces * (4 + i)), Version: "1"})
+		f.st.Residents.Delete(ledger.Location{Server: server, Model: modelOf(shortPlaces * (4 + i)), Version: "1"})
 		o := &wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: server, ServerIncarnation: "i", Item: &wire.Item{Model: modelOf(50 + i), Version: "1"}, Memory: 1 << 30}
 		r := standin.Agree(f.st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: o}}})
 		g.Expect(r.Err).NotTo(HaveOccurred())
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -192,8 +192,8 @@
 
 func (r *Replica) applyOne(e *wire.Entry) {
 	result := r.master.Apply(e)
-	if result.Unknown != nil {
-		r.opts.Fatal(Error.Wrap(result.Unknown))
+	if result.UnknownLevel != nil {
+		r.opts.Fatal(Error.Wrap(result.UnknownLevel))
 	}
 	r.remember(e)
 	p := r.waiting[e.Index]
--- a/route/route.go
+++ b/route/route.go
@@ -238,14 +238,14 @@
 	}
 }
 
-func nameOf(p ledger.Place) string {
+func nameOf(p ledger.Location) string {
 	if p.Adapter != "" {
 		return p.Adapter
 	}
 	return p.Model
 }
 
-func wantedVersion(f *fleet.Fleet, p ledger.Place) string {
+func wantedVersion(f *fleet.Fleet, p ledger.Location) string {
 	if a := f.Adapters[p.Adapter]; a != nil {
 		return a.Version
 	}
@@ -255,7 +255,7 @@
 	return ""
 }
 
-func (d *Directory) serves(view *state.State, bases map[base]bool, p ledger.Place, r *wire.Resident) bool {
+func (d *Directory) serves(view *state.State, bases map[base]bool, p ledger.Location, r *wire.Resident) bool {
 	if p.Adapter != "" && !bases[base{p.Server, p.Accelerator, p.Model}] {
 		return false
 	}
--- a/state/announce.go
+++ b/state/announce.go
@@ -27,8 +27,8 @@
 
 // announce takes over what a server said of itself.
 func (s *State) announce(a *wire.Announcement) {
-	old := s.Announced.Get(a.Id)
-	if s.Outlived(a) {
+	old := s.Announcements.Get(a.Id)
+	if s.HasNewerIncarnation(a) {
 		return
 	}
 	ordered, heir := s.endLivesBefore(a)
@@ -37,7 +37,7 @@
 	next.Leaving = a.Leaving || old.GetLeaving() // (2)
 	next.Heir = heir || old.GetHeir()
 	next.Cold = a.Cold && s.Level >= level.Evacuations
-	s.Announced.Set(a.Id, next)
+	s.Announcements.Set(a.Id, next)
 	if old == nil {
 		s.silenceOthers(next) // (3)
 	}
@@ -46,17 +46,17 @@
 		return
 	}
 	s.Servers.Set(a.Id, &wire.ServerState{Name: next.Id, Incarnation: next.Id, Leaving: next.Leaving, Ordered: max(ordered, s.Servers.Get(a.Id).GetOrdered()), AtHand: next.AtHand})
-	if (old == nil || a.TakeResidents) && !s.Orders.Any(a.Id) { // (4)
+	if (old == nil || a.TakeResidents) && !s.Orders.HasOpen(a.Id) { // (4)
 		s.replaceResidents(next.Id, a.Residents)
 	}
 }
 
-// Outlived reports whether a later life of a server's name is known.
-func (s *State) Outlived(a *wire.Announcement) bool {
+// HasNewerIncarnation reports whether a later life of a server's name is known.
+func (s *State) HasNewerIncarnation(a *wire.Announcement) bool {
 	if a.BornMs == 0 {
 		return false
 	}
-	return slices.ContainsFunc(s.Announced.Lives(a.Name), func(id string) bool { return id != a.Id && s.Announced.Get(id).BornMs > a.BornMs })
+	return slices.ContainsFunc(s.Announcements.Incarnations(a.Name), func(id string) bool { return id != a.Id && s.Announcements.Get(id).BornMs > a.BornMs })
 }
 
 // endLivesBefore is rule 5. It returns the entry that was about an order to the life before last, and whether one was open.
@@ -64,32 +64,32 @@
 	if a.BornMs == 0 {
 		return 0, false
 	}
-	for _, id := range s.Announced.Lives(a.Name) {
-		if id == a.Id || s.Announced.Get(id).BornMs == 0 {
+	for _, id := range s.Announcements.Incarnations(a.Name) {
+		if id == a.Id || s.Announcements.Get(id).BornMs == 0 {
 			continue
 		}
 		ordered = max(ordered, s.Servers.Get(id).GetOrdered())
-		heir = heir || s.Announced.Get(id).Heir || s.Orders.Any(id)
+		heir = heir || s.Announcements.Get(id).Heir || s.Orders.HasOpen(id)
 		s.forgetAnnounced(id)
 	}
 	return ordered, heir
 }
 
 func (s *State) forgetAnnounced(id string) {
-	s.Announced.Delete(id)
-	s.Joined.Delete(id)
+	s.Announcements.Delete(id)
+	s.PoolServers.Delete(id)
 	s.forgetServer(id)
 }
 
 func (s *State) silenceOthers(a *wire.Announcement) {
-	for _, id := range s.Announced.At(a.Address) {
-		other := s.Announced.Get(id)
+	for _, id := range s.Announcements.ByAddress(a.Address) {
+		other := s.Announcements.Get(id)
 		if id == a.Id || other.Silent {
 			continue
 		}
 		next := proto.CloneOf(other)
 		next.Silent = true
-		s.Announced.Set(id, next)
+		s.Announcements.Set(id, next)
 	}
 }
 
@@ -120,7 +120,7 @@
 
 // withdraw is rule 1.
 func (s *State) withdraw(w *wire.Withdraw) {
-	old := s.Announced.Get(w.Id)
+	old := s.Announcements.Get(w.Id)
 	if old == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 	}
 	next := proto.CloneOf(old)
 	next.Leaving = true
-	s.Announced.Set(w.Id, next)
+	s.Announcements.Set(w.Id, next)
 	if seen := s.Servers.Get(w.Id); seen != nil {
 		s.Servers.Set(w.Id, &wire.ServerState{Name: w.Id, Incarnation: w.Id, Leaving: true, Ordered: seen.Ordered, AtHand: seen.AtHand})
 	}
@@ -143,24 +143,24 @@
 	}
 	pool := s.Fleet.Pools[a.Service]
 	if pool == nil || pool.Kind == nil {
-		s.Joined.Delete(a.Id)
+		s.PoolServers.Delete(a.Id)
 		return
 	}
-	if old := s.Joined.Get(a.Id); old != nil && old.Address == a.Address && old.Hall == a.Hall && old.Kind == pool.Kind && old.Pool == pool.Name {
+	if old := s.PoolServers.Get(a.Id); old != nil && old.Address == a.Address && old.Hall == a.Hall && old.Kind == pool.Kind && old.Pool == pool.Name {
 		return
 	}
-	s.Joined.Set(a.Id, &fleet.Server{Name: a.Id, Address: a.Address, Hall: a.Hall, Kind: pool.Kind, Pool: pool.Name})
+	s.PoolServers.Set(a.Id, &fleet.Server{Name: a.Id, Address: a.Address, Hall: a.Hall, Kind: pool.Kind, Pool: pool.Name})
 }
 
 // enterFleet takes over another fleet file: who belongs to its pools, and what was announced before its size was known.
 func (s *State) enterFleet(f *fleet.Fleet) {
 	s.Fleet = f
-	for _, a := range s.Announced.All() {
+	for _, a := range s.Announcements.All() {
 		s.joinFleet(a)
 	}
 	var sized []*wire.Resident
 	for p, r := range s.Residents.All() {
-		if r.Memory != 0 || s.Announced.Get(p.Server) == nil {
+		if r.Memory != 0 || s.Announcements.Get(p.Server) == nil {
 			continue
 		}
 		if size := s.memoryOf(r.Item); size != 0 {
--- a/state/announce_test.go
+++ b/state/announce_test.go
@@ -78,7 +78,7 @@
 	l.announce(server("i1", model()))
 	g.Expect(l.st.Server("i1")).NotTo(BeNil())
 	g.Expect(l.st.Server("i1").Kind.CountsOrders).To(BeTrue())
-	g.Expect(l.st.Used("i1", 0)).To(BeEquivalentTo(60))
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60))
 
 	again, err := state.Decode(l.st.Encode())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -96,7 +96,7 @@
 	l.announce(server("i1", model()))
 	l.apply(&wire.Command{Kind: &wire.Command_Apply{Apply: &wire.ApplyFleet{Number: 1, Format: poolFormat, Text: "x", Digest: fleet.Digest([]byte("x"))}}})
 	g.Expect(l.st.Server("i1")).NotTo(BeNil())
-	g.Expect(l.st.Used("i1", 0)).To(BeEquivalentTo(60), "its size is counted once it is known")
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60), "its size is counted once it is known")
 }
 
 func TestLeavingStays(t *testing.T) {
@@ -107,14 +107,14 @@
 	l.announce(server("i1", model()))
 	l.announce(leaving)
 	l.announce(server("i1", model()))
-	g.Expect(l.st.Announced.Get("i1").Leaving).To(BeTrue())
+	g.Expect(l.st.Announcements.Get("i1").Leaving).To(BeTrue())
 	g.Expect(l.st.Servers.Get("i1").Leaving).To(BeTrue())
 	g.Expect(l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: adapter("a1"), Memory: 1}).Err).To(HaveOccurred())
 	l.apply(&wire.Command{Kind: &wire.Command_Withdraw{Withdraw: &wire.Withdraw{Id: "unknown"}}})
 	l.announce(server("i2"))
 	l.apply(&wire.Command{Kind: &wire.Command_Withdraw{Withdraw: &wire.Withdraw{Id: "i2"}}})
 	l.announce(server("i2"))
-	g.Expect(l.st.Announced.Get("i2").Leaving).To(BeTrue(), "gone stays gone")
+	g.Expect(l.st.Announcements.Get("i2").Leaving).To(BeTrue(), "gone stays gone")
 }
 
 func TestANewIDSilencesTheOldOneAtItsAddress(t *testing.T) {
@@ -122,11 +122,11 @@
 	l := newLog(t)
 	l.announce(server("i1", model()))
 	l.announce(server("i2"))
-	g.Expect(l.st.Announced.Get("i1").Silent).To(BeTrue())
-	g.Expect(l.st.Announced.Get("i2").Silent).To(BeFalse())
+	g.Expect(l.st.Announcements.Get("i1").Silent).To(BeTrue())
+	g.Expect(l.st.Announcements.Get("i2").Silent).To(BeFalse())
 	l.announce(server("i1", model()))
-	g.Expect(l.st.Announced.Get("i1").Silent).To(BeFalse(), "it is heard again: words come late")
-	g.Expect(l.st.Announced.Get("i2").Silent).To(BeFalse())
+	g.Expect(l.st.Announcements.Get("i1").Silent).To(BeFalse(), "it is heard again: words come late")
+	g.Expect(l.st.Announcements.Get("i2").Silent).To(BeFalse())
 }
 
 func TestResidentsStandWhileAnOrderIsOpen(t *testing.T) {
@@ -138,10 +138,10 @@
 	believed := server("i1")
 	believed.TakeResidents = true
 	l.announce(believed)
-	g.Expect(l.st.Used("i1", 0)).To(BeEquivalentTo(60), "what is ordered stays counted")
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60), "what is ordered stays counted")
 	l.closeDone(r.Order.Id)
 	l.announce(believed)
-	g.Expect(l.st.Used("i1", 0)).To(BeZero(), "and is taken from the server's word afterwards")
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeZero(), "and is taken from the server's word afterwards")
 }
 
 // A word that came for another reason, and was older than the last order, replaced
@@ -156,7 +156,7 @@
 	late := server("i1", model(), adapter("a1"))
 	late.AtHand = []string{"m"}
 	l.announce(late)
-	g.Expect(l.st.Adapters("i1", 0)).To(Equal(2))
+	g.Expect(l.st.AdapterCount("i1", 0)).To(Equal(2))
 	r = l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: adapter("a3"), Memory: 1})
 	g.Expect(r.Err).To(MatchError(ContainSubstring("2 of 2 adapter slots")))
 }
@@ -181,7 +181,7 @@
 	g.Expect(r.Err).NotTo(HaveOccurred())
 	l.closeDone(r.Order.Id)
 	for p := range l.st.Residents.All() {
-		g.Expect(p).To(Equal(ledger.Place{Server: "i2", Model: "m", Version: "v"}), "adapters go with their model")
+		g.Expect(p).To(Equal(ledger.Location{Server: "i2", Model: "m", Version: "v"}), "adapters go with their model")
 	}
 }
 
--- a/state/announced.go
+++ b/state/announced.go
@@ -10,8 +10,8 @@
 	"leverdrum/wire"
 )
 
-// Announced are the backend servers that announced themselves, found by id, by name, by address and by service.
-type Announced struct {
+// Announcements are the backend servers that announced themselves, found by id, by name, by address and by service.
+type Announcements struct {
 	byID      *cow.Map[string, *wire.Announcement]
 	byName    *cow.Map[string, []string]
 	byAddress *cow.Map[string, []string]
@@ -28,21 +28,21 @@
 	return cmp.Or(strings.Compare(a.service, b.service), strings.Compare(a.id, b.id))
 }
 
-func newAnnounced() *Announced {
-	return &Announced{cow.New[string, *wire.Announcement](), cow.New[string, []string](), cow.New[string, []string](), cow.New[string, bool](), cow.New[string, bool](), cow.New[string, int](), cow.NewFunc[serviceID, *wire.Announcement](compareServices)}
+func newAnnounced() *Announcements {
+	return &Announcements{cow.New[string, *wire.Announcement](), cow.New[string, []string](), cow.New[string, []string](), cow.New[string, bool](), cow.New[string, bool](), cow.New[string, int](), cow.NewFunc[serviceID, *wire.Announcement](compareServices)}
 }
 
 // Get returns what is known of an id, nil for nothing.
-func (a *Announced) Get(id string) *wire.Announcement { return a.byID.Get(id) }
+func (a *Announcements) Get(id string) *wire.Announcement { return a.byID.Get(id) }
 
 // Len returns how many are known.
-func (a *Announced) Len() int { return a.byID.Len() }
+func (a *Announcements) Len() int { return a.byID.Len() }
 
 // All goes over them by id.
-func (a *Announced) All() iter.Seq2[string, *wire.Announcement] { return a.byID.All() }
+func (a *Announcements) All() iter.Seq2[string, *wire.Announcement] { return a.byID.All() }
 
-// Of goes over those of a service by id.
-func (a *Announced) Of(service string) iter.Seq2[string, *wire.Announcement] {
+// ByService goes over those of a service by id.
+func (a *Announcements) ByService(service string) iter.Seq2[string, *wire.Announcement] {
 	return func(yield func(string, *wire.Announcement) bool) {
 		for key, one := range a.byService.From(serviceID{service: service}) {
 			if key.service != service || !yield(key.id, one) {
@@ -52,17 +52,17 @@
 	}
 }
 
-// At returns the ids that have an address.
-func (a *Announced) At(address string) []string { return a.byAddress.Get(address) }
+// ByAddress returns the ids that have an address.
+func (a *Announcements) ByAddress(address string) []string { return a.byAddress.Get(address) }
 
-// Lives returns the ids of the lives of a name.
-func (a *Announced) Lives(name string) []string { return a.byName.Get(name) }
+// Incarnations returns the ids of the lives of a name.
+func (a *Announcements) Incarnations(name string) []string { return a.byName.Get(name) }
 
-// Heirs returns the ids of those that began while an order to the life before was open.
-func (a *Announced) Heirs() []string { return marked(a.heirs) }
+// WithInheritedOrders returns the ids of those that began while an order to the life before was open.
+func (a *Announcements) WithInheritedOrders() []string { return marked(a.heirs) }
 
-// Leaving returns the ids of those that leave.
-func (a *Announced) Leaving() []string { return marked(a.leaving) }
+// Draining returns the ids of those that leave.
+func (a *Announcements) Draining() []string { return marked(a.leaving) }
 
 func marked(set *cow.Map[string, bool]) (ids []string) {
 	for id := range set.All() {
@@ -81,7 +81,7 @@
 }
 
 // Set takes over what is known of an id.
-func (a *Announced) Set(id string, next *wire.Announcement) {
+func (a *Announcements) Set(id string, next *wire.Announcement) {
 	a.countHand(a.byID.Get(id), next)
 	a.unlink(id, next)
 	a.byID.Set(id, next)
@@ -95,7 +95,7 @@
 }
 
 // Delete forgets an id.
-func (a *Announced) Delete(id string) {
+func (a *Announcements) Delete(id string) {
 	a.countHand(a.byID.Get(id), nil)
 	a.unlink(id, &wire.Announcement{})
 	a.byID.Delete(id)
@@ -103,11 +103,11 @@
 	mark(a.leaving, id, false)
 }
 
-// AtHand returns how many servers have a model at hand.
-func (a *Announced) AtHand(model string) int { return a.atHand.Get(model) }
+// CachedCount returns how many servers have a model at hand.
+func (a *Announcements) CachedCount(model string) int { return a.atHand.Get(model) }
 
 // countHand counts what a server has at hand now in place of what it had before.
-func (a *Announced) countHand(old, next *wire.Announcement) {
+func (a *Announcements) countHand(old, next *wire.Announcement) {
 	if slices.Equal(old.GetAtHand(), next.GetAtHand()) {
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // unlink takes an id out of where its next announcement does not stand.
-func (a *Announced) unlink(id string, next *wire.Announcement) {
+func (a *Announcements) unlink(id string, next *wire.Announcement) {
 	old := a.byID.Get(id)
 	if old == nil {
 		return
@@ -155,6 +155,6 @@
 	index.Set(key, left)
 }
 
-func (a *Announced) clone() *Announced {
-	return &Announced{a.byID.Clone(), a.byName.Clone(), a.byAddress.Clone(), a.heirs.Clone(), a.leaving.Clone(), a.atHand.Clone(), a.byService.Clone()}
+func (a *Announcements) clone() *Announcements {
+	return &Announcements{a.byID.Clone(), a.byName.Clone(), a.byAddress.Clone(), a.heirs.Clone(), a.leaving.Clone(), a.atHand.Clone(), a.byService.Clone()}
 }
--- a/state/evacuation.go
+++ b/state/evacuation.go
@@ -26,7 +26,7 @@
 			return true
 		}
 	}
-	for _, a := range s.Announced.All() {
+	for _, a := range s.Announcements.All() {
 		if a.Hall == hall {
 			return true
 		}
@@ -37,7 +37,7 @@
 // WarmUpLimit returns what a backend server takes while it warms up, 0 for no limit. One that is silent may be starting
 // again, and the first request would reach it before its next heartbeat.
 func (s *State) WarmUpLimit(server string) dialect.Limit {
-	a := s.Announced.Get(server)
+	a := s.Announcements.Get(server)
 	if a == nil || !a.Cold && !a.Silent {
 		return 0
 	}
@@ -46,7 +46,7 @@
 
 // WarmUpRate returns what a backend server takes whenever it warms up, 0 for no limit.
 func (s *State) WarmUpRate(server string) dialect.Limit {
-	a := s.Announced.Get(server)
+	a := s.Announcements.Get(server)
 	if a == nil || s.Fleet == nil || s.Fleet.Pools[a.Service] == nil {
 		return 0
 	}
--- a/state/level_test.go
+++ b/state/level_test.go
@@ -59,9 +59,9 @@
 func TestWhatABuildDoesNotKnowIsToldAndNotPassedOver(t *testing.T) {
 	g := NewWithT(t)
 	_, result := applyAll(t, raise(level.Newest+1))
-	g.Expect(result.Unknown).To(HaveOccurred())
+	g.Expect(result.UnknownLevel).To(HaveOccurred())
 	_, result = applyAll(t, &wire.Command{UnixMs: 1})
-	g.Expect(result.Unknown).To(HaveOccurred())
+	g.Expect(result.UnknownLevel).To(HaveOccurred())
 	w := state.New().Encode()
 	w.Level = uint32(level.Newest) + 1
 	_, err := state.Decode(w)
--- a/state/limits.go
+++ b/state/limits.go
@@ -5,9 +5,9 @@
 	"leverdrum/wire"
 )
 
-// Knows reports whether a backend server, one of a plain service included, announced itself or stands in the fleet file.
-func (s *State) Knows(server string) bool {
-	if s.Announced.Get(server) != nil {
+// KnowsServer reports whether a backend server, one of a plain service included, announced itself or stands in the fleet file.
+func (s *State) KnowsServer(server string) bool {
+	if s.Announcements.Get(server) != nil {
 		return true
 	}
 	return s.Fleet != nil && (s.Fleet.Servers[server] != nil || s.Fleet.Instances[server] != nil)
@@ -16,7 +16,7 @@
 // limitServer takes over what a server named. It ends with the server's life (forgetServer).
 func (s *State) limitServer(l *wire.ServerLimit, unixMs int64) {
 	s.ownLimits()
-	if l.Milli == 0 || !s.Knows(l.Server) {
+	if l.Milli == 0 || !s.KnowsServer(l.Server) {
 		delete(s.Limits, l.Server)
 		return
 	}
--- a/state/lives_test.go
+++ b/state/lives_test.go
@@ -43,8 +43,8 @@
 	e.Servers.Set("i-1~1000", &wire.ServerState{Name: "i-1~1000", Ordered: 2})
 
 	e.apply(life(2000, "i-1~2000"))
-	g.Expect(e.Announced.Len()).To(Equal(1))
-	next := e.Announced.Get("i-1~2000")
+	g.Expect(e.Announcements.Len()).To(Equal(1))
+	next := e.Announcements.Get("i-1~2000")
 	g.Expect(next.Leaving).To(BeFalse(), "that was the life before")
 	g.Expect(next.Heir).To(BeTrue(), "an order to it was open and may still arrive")
 	g.Expect(e.Residents.Len()).To(BeZero())
@@ -53,9 +53,9 @@
 	g.Expect(e.Servers.Len()).To(Equal(1))
 
 	e.apply(life(1000, "i-1~1000", "m1"))
-	g.Expect(e.Announced.Len()).To(Equal(1), "a late word of the life before")
+	g.Expect(e.Announcements.Len()).To(Equal(1), "a late word of the life before")
 	g.Expect(e.Residents.Len()).To(BeZero())
 	back, err := state.Decode(e.Encode())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(back.Announced.Get("i-1~2000").Heir).To(BeTrue())
+	g.Expect(back.Announcements.Get("i-1~2000").Heir).To(BeTrue())
 }
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -13,9 +13,9 @@
 // Encode returns the state as a snapshot holds it.
 func (s *State) Encode() *wire.State {
 	w := s.EncodeFile()
-	w.History, w.Moves, w.Most, w.Epochs, w.Roster = s.History, s.Moves, s.Most, s.Epochs, s.Roster
+	w.History, w.Moves, w.Most, w.Epochs, w.Roster = s.History, s.Moves, s.MaxCopies, s.Epochs, s.Roster
 	w.Suspects, w.Level = s.Crashers.Encode(), uint32(s.Level)
-	for _, a := range s.Announced.All() {
+	for _, a := range s.Announcements.All() {
 		w.Announced = append(w.Announced, a)
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.Members)) {
@@ -49,7 +49,7 @@
 	s.Moves, s.Epochs, s.Roster = w.GetMoves(), w.GetEpochs(), w.GetRoster()
 	s.Crashers = crasher.Decode(w.GetSuspects())
 	for _, a := range w.GetAnnounced() {
-		s.Announced.Set(a.Id, s.shareTexts(a))
+		s.Announcements.Set(a.Id, s.shareTexts(a))
 	}
 	if s.Version != nil {
 		text, err := FileText(w)
@@ -63,7 +63,7 @@
 		}
 		s.enterFleet(f)
 	}
-	maps.Copy(s.Most, w.GetMost())
+	maps.Copy(s.MaxCopies, w.GetMost())
 	for _, m := range w.GetMembers() {
 		s.Members[m.Box] = m
 	}
@@ -72,7 +72,7 @@
 		s.Servers.Set(v.Name, s.shareServer(v))
 	}
 	for _, r := range w.GetResidents() {
-		if a := s.Announced.Get(r.Server); a != nil {
+		if a := s.Announcements.Get(r.Server); a != nil {
 			r.Server = a.Id
 		}
 		r.Item = s.shareItem(r.Item)
--- a/state/state.go
+++ b/state/state.go
@@ -53,11 +53,11 @@
 	Err error
 	// Order is the order that was issued.
 	Order *wire.Order
-	// Unknown tells that the entry is of a level that this build does not know, so that the state is
+	// UnknownLevel tells that the entry is of a level that this build does not know, so that the state is
 	// that of the other boxes no more.
-	Unknown error
-	// Held and Released are requests that are kept from servers now, and those that no longer are.
-	Held, Released []*wire.Suspect
+	UnknownLevel error
+	// Blocked and Released are requests that are kept from servers now, and those that no longer are.
+	Blocked, Released []*wire.Suspect
 }
 
 // State is the agreed state at one index. What its maps hold is never changed
@@ -72,9 +72,9 @@
 	Format  string
 	packed  func() []byte // Text packed by itself; nil without one
 	History []*wire.FleetVersion
-	// Announced are the backend servers that announced themselves, those that left included until nothing of them can
+	// Announcements are the backend servers that announced themselves, those that left included until nothing of them can
 	// arrive any more.
-	Announced *Announced
+	Announcements *Announcements
 
 	// Members by box.
 	Members map[string]*wire.Member
@@ -92,11 +92,11 @@
 
 	// Moves counts the loads behind the first placement of each item.
 	Moves uint64
-	// Most is the most copies that each model or adapter ever had, loads under
+	// MaxCopies is the most copies that each model or adapter ever had, loads under
 	// way included, by name.
-	Most map[string]uint32
+	MaxCopies map[string]uint32
 
-	ledger.Book
+	ledger.Inventory
 
 	texts *texts
 	// shared tells which maps a clone holds, too: they are copied before they are changed.
@@ -117,7 +117,7 @@
 
 func (s *State) ownMost() {
 	if s.shared.most {
-		s.Most, s.shared.most = maps.Clone(s.Most), false
+		s.MaxCopies, s.shared.most = maps.Clone(s.MaxCopies), false
 	}
 }
 
@@ -130,8 +130,8 @@
 // New returns the state before the first entry.
 func New() *State {
 	return &State{
-		Members: map[string]*wire.Member{}, Most: map[string]uint32{}, Announced: newAnnounced(), Limits: map[string]*wire.ServerLimit{}, Crashers: crasher.NewBook(),
-		Book: ledger.NewBook(), texts: newTexts(),
+		Members: map[string]*wire.Member{}, MaxCopies: map[string]uint32{}, Announcements: newAnnounced(), Limits: map[string]*wire.ServerLimit{}, Crashers: crasher.NewBook(),
+		Inventory: ledger.NewInventory(), texts: newTexts(),
 	}
 }
 
@@ -139,7 +139,7 @@
 // copied by whoever changes them next.
 func (s *State) Clone() *State {
 	c := *s
-	c.Announced, c.Book = s.Announced.clone(), s.Book.Clone()
+	c.Announcements, c.Inventory = s.Announcements.clone(), s.Inventory.Clone()
 	s.shared, c.shared = allShared, allShared
 	return &c
 }
@@ -175,7 +175,7 @@
 	case *wire.Command_Withdraw:
 		s.withdraw(k.Withdraw)
 	case *wire.Command_Crashes:
-		return Result{Held: s.Crashers.Take(k.Crashes, crasher.At{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
+		return Result{Blocked: s.Crashers.Take(k.Crashes, crasher.At{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
 	case *wire.Command_Raise:
 		return s.raise(level.Level(k.Raise.Level))
 	case *wire.Command_Limit:
@@ -185,7 +185,7 @@
 	case *wire.Command_Release:
 		return Result{Released: s.Crashers.Release(k.Release, crasher.At{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
 	default:
-		return Result{Unknown: Error.New("entry %d is a command that this build does not know", e.Index)}
+		return Result{UnknownLevel: Error.New("entry %d is a command that this build does not know", e.Index)}
 	}
 	return Result{}
 }
@@ -193,7 +193,7 @@
 // raise is rule 1 of package level.
 func (s *State) raise(to level.Level) Result {
 	if to > level.Newest {
-		return Result{Unknown: Error.New("entry %d raises to %v", s.Index, to)}
+		return Result{UnknownLevel: Error.New("entry %d raises to %v", s.Index, to)}
 	}
 	s.Level = max(s.Level, to)
 	return Result{}
@@ -203,7 +203,7 @@
 func (s *State) dropStrangers() {
 	var strangers []string
 	for name := range s.Servers.All() {
-		if s.Fleet.Servers[name] == nil && s.Announced.Get(name) == nil {
+		if s.Fleet.Servers[name] == nil && s.Announcements.Get(name) == nil {
 			strangers = append(strangers, name)
 		}
 	}
@@ -211,7 +211,7 @@
 		s.forgetServer(name)
 	}
 	s.ownLimits()
-	maps.DeleteFunc(s.Limits, func(name string, _ *wire.ServerLimit) bool { return !s.Knows(name) })
+	maps.DeleteFunc(s.Limits, func(name string, _ *wire.ServerLimit) bool { return !s.KnowsServer(name) })
 }
 
 func (s *State) forgetServer(name string) {
@@ -258,25 +258,25 @@
 func (s *State) countMove(item *wire.Item) {
 	name := cmp.Or(item.Adapter, item.Model)
 	have := uint32(0)
-	for range s.Residents.Of(item.Model, item.Adapter) {
+	for range s.Residents.ByItem(item.Model, item.Adapter) {
 		have++
 	}
 	wanted := uint32(1)
 	if m := s.Fleet.Models[item.Model]; m != nil {
 		wanted = uint32(m.Copies)
 	}
-	if have <= s.Most[name] || have > wanted {
+	if have <= s.MaxCopies[name] || have > wanted {
 		s.Moves++
 	}
-	if have > s.Most[name] {
+	if have > s.MaxCopies[name] {
 		s.ownMost()
-		s.Most[name] = have
+		s.MaxCopies[name] = have
 	}
 }
 
 // sizeOf keeps the size that was counted when the item was loaded.
 func (s *State) sizeOf(o *wire.Order) uint64 {
-	if r := s.Residents.Get(ledger.PlaceOf(o)); r != nil {
+	if r := s.Residents.Get(ledger.OrderLocation(o)); r != nil {
 		return r.Memory
 	}
 	return o.Memory
@@ -284,11 +284,11 @@
 
 // dropAdapters forgets the on-demand adapters of a model that was unloaded: they
 // went with it.
-func (s *State) dropAdapters(model ledger.Place) {
+func (s *State) dropAdapters(model ledger.Location) {
 	if model.Adapter != "" {
 		return
 	}
-	s.Residents.Clear(model.Server, func(p ledger.Place) bool {
+	s.Residents.Clear(model.Server, func(p ledger.Location) bool {
 		a := s.Fleet.Adapters[p.Adapter]
 		return a != nil && a.OnDemand && p.Accelerator == model.Accelerator && p.Model == model.Model
 	})
@@ -301,7 +301,7 @@
 	}
 	s.Orders.Delete(c.Id)
 	s.noteOrdered(o.Server)
-	place := ledger.PlaceOf(o)
+	place := ledger.OrderLocation(o)
 	done := c.Outcome == wire.OrderOutcome_OUTCOME_DONE
 	load := o.Action == wire.OrderAction_ORDER_LOAD
 	if done != load {
--- a/state/texts.go
+++ b/state/texts.go
@@ -19,12 +19,12 @@
 
 // shareItem returns an equal item that the state holds already.
 func (s *State) shareItem(item *wire.Item) *wire.Item {
-	return s.texts.item(ledger.Place{Model: item.Model, Adapter: item.Adapter, Version: item.Version}, item)
+	return s.texts.item(ledger.Location{Model: item.Model, Adapter: item.Adapter, Version: item.Version}, item)
 }
 
 // shareServer has what is known of a server hold the texts of its announcement.
 func (s *State) shareServer(v *wire.ServerState) *wire.ServerState {
-	a := s.Announced.Get(v.Name)
+	a := s.Announcements.Get(v.Name)
 	if a == nil {
 		return v
 	}
@@ -44,10 +44,10 @@
 // texts are what a state and its clones share. Only the goroutine that applies entries uses them.
 type texts struct {
 	names map[string]string
-	items map[ledger.Place]*wire.Item
+	items map[ledger.Location]*wire.Item
 }
 
-func newTexts() *texts { return &texts{map[string]string{}, map[ledger.Place]*wire.Item{}} }
+func newTexts() *texts { return &texts{map[string]string{}, map[ledger.Location]*wire.Item{}} }
 
 func (t *texts) share(text string) string {
 	if known, ok := t.names[text]; ok {
@@ -60,7 +60,7 @@
 	return text
 }
 
-func (t *texts) item(key ledger.Place, item *wire.Item) *wire.Item {
+func (t *texts) item(key ledger.Location, item *wire.Item) *wire.Item {
 	if known := t.items[key]; known != nil {
 		return known
 	}
