--- a/placement/demand.go
+++ b/placement/demand.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// DemandSettles is how long a new leader waits for demand to be reported,
+	// DefaultDemandSettleTime is how long a new leader waits for demand to be reported,
 	// unless Input says otherwise.
-	DemandSettles = 10 * time.Second
+	DefaultDemandSettleTime = 10 * time.Second
 	// worthShare is the share of the worth of a copy that room is made for which
 	// another move must have to be made meanwhile.
 	worthShare = 0.3
@@ -64,7 +64,7 @@
 // followAbove is rule 7 for the moves that spare more than so many requests a second
 // (1).
 func (p *planner) followAbove(rate float64) {
-	if p.in.Since < cmp.Or(p.in.Settles, DemandSettles) {
+	if p.in.Since < cmp.Or(p.in.Settles, DefaultDemandSettleTime) {
 		return
 	}
 	for p.moves < movesAtOnce {
