--- a/box/lead.go
+++ b/box/lead.go
@@ -31,7 +31,7 @@
 		return reason.DiskFull
 	case errors.Is(err, replica.ErrBusy):
 		return reason.Busy
-	case errors.Is(err, control.ErrLevel):
+	case errors.Is(err, control.ErrLevelTooLow):
 		return reason.LevelLow
 	case errors.Is(err, errUnknownHall):
 		return reason.UnknownHall
@@ -48,9 +48,9 @@
 	case wire.ForwardKind_FORWARD_WITHDRAW:
 		return &wire.ForwardAnswer{}, p.control.Withdraw(ctx, f.Withdraw)
 	case wire.ForwardKind_FORWARD_NOTICE:
-		return &wire.ForwardAnswer{}, p.control.Notice(ctx, f)
+		return &wire.ForwardAnswer{}, p.control.RecordNotice(ctx, f)
 	case wire.ForwardKind_FORWARD_CRASHES:
-		return &wire.ForwardAnswer{}, p.control.TakeCrashes(ctx, f.Crashes)
+		return &wire.ForwardAnswer{}, p.control.RecordCrashes(ctx, f.Crashes)
 	case wire.ForwardKind_FORWARD_EVACUATE:
 		return leadEvacuate(ctx, p, f.Evacuate)
 	case wire.ForwardKind_FORWARD_READ:
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.control.RaiseFirst(ctx)
+	p.control.RaiseInitialLevel(ctx)
 	result, err := p.replica.Propose(ctx, &wire.Command{Kind: &wire.Command_Apply{Apply: a}})
 	if err != nil {
 		return nil, err
--- a/control/announce.go
+++ b/control/announce.go
@@ -199,9 +199,9 @@
 	return a.Name == w.Name && (w.BornMs == 0 || w.BornMs == a.BornMs)
 }
 
-// Notice takes over what a box met while it served: models and adapters that
+// RecordNotice takes over what a box met while it served: models and adapters that
 // requests wait for, and servers that refuse connections.
-func (c *Controller) Notice(ctx context.Context, f *wire.Forward) error {
+func (c *Controller) RecordNotice(ctx context.Context, f *wire.Forward) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -82,14 +82,14 @@
 	Engines func(name, address string) engine.Server
 	// Counting speaks to servers that count orders; nil when there are none.
 	Counting engine.Counting
-	// Rests reports whether a server asked this box for a rest that lasts; nil: none does.
-	Rests func(server string) bool
+	// InLongBackoff reports whether a server asked this box for a rest that lasts; nil: none does.
+	InLongBackoff func(server string) bool
 	// Holder names this box in orders.
 	Holder string
 	// OrderPause is the least time between the orders of two leaders to a server (5).
 	OrderPause time.Duration
-	// DemandSettles is how long a new leader waits for demand to be reported.
-	DemandSettles time.Duration
+	// DemandSettleTime is how long a new leader waits for demand to be reported.
+	DemandSettleTime time.Duration
 	// VotersNeedDisks keeps boxes without a disk from voting.
 	VotersNeedDisks bool
 	// NeverLeads: this box does not vote, so that there is nothing that it would have to know when it leads.
--- a/control/crashes.go
+++ b/control/crashes.go
@@ -22,9 +22,9 @@
 	since time.Time
 }
 
-// TakeCrashes has what a box tells of requests under which servers ended agreed. The error is ErrNotLeader where
+// RecordCrashes has what a box tells of requests under which servers ended agreed. The error is ErrNotLeader where
 // the box does not lead.
-func (c *Controller) TakeCrashes(ctx context.Context, r *wire.CrashReport) error {
+func (c *Controller) RecordCrashes(ctx context.Context, r *wire.CrashReport) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
 	}
--- a/control/decide.go
+++ b/control/decide.go
@@ -56,7 +56,7 @@
 func (c *Controller) decide(ctx context.Context, view *state.State) {
 	in := placement.Input{
 		State: view, Demand: c.demand(view), Down: c.down(view), Held: c.held(view, time.Now()),
-		Resting: c.restingServers(view, time.Now()), Wanted: c.wants(), Since: time.Since(c.ledSince), Settles: c.opts.DemandSettles,
+		Resting: c.restingServers(view, time.Now()), Wanted: c.wants(), Since: time.Since(c.ledSince), Settles: c.opts.DemandSettleTime,
 	}
 	c.weighModels(&in, time.Now())
 	plan := placement.Decide(in)
--- a/control/evacuate.go
+++ b/control/evacuate.go
@@ -12,8 +12,8 @@
 	"leverdrum/wire"
 )
 
-// ErrLevel: some box's build does not know what was asked for yet.
-var ErrLevel = errors.New("not all boxes know this call yet")
+// ErrLevelTooLow: some box's build does not know what was asked for yet.
+var ErrLevelTooLow = errors.New("not all boxes know this call yet")
 
 // Evacuate has agreed that nothing goes to the servers of a data hall, or that this ends. It may be repeated.
 func (c *Controller) Evacuate(ctx context.Context, e *wire.EvacuateHall) error {
@@ -21,7 +21,7 @@
 		return replica.ErrNotLeader
 	}
 	if c.opts.Replica.View().Level < level.Evacuations {
-		return ErrLevel
+		return ErrLevelTooLow
 	}
 	cmd := &wire.EvacuateHall{Hall: e.Hall, Undo: e.Undo}
 	if _, err := c.opts.Replica.Propose(ctx, &wire.Command{Kind: &wire.Command_Evacuate{Evacuate: cmd}}); err != nil {
--- a/control/levels.go
+++ b/control/levels.go
@@ -33,9 +33,9 @@
 	c.waited += time.Since(began)
 }
 
-// RaiseFirst raises the level as far as all boxes know levels where no file was ever in force, so that the first one is read as
+// RaiseInitialLevel raises the level as far as all boxes know levels where no file was ever in force, so that the first one is read as
 // this build reads it and nothing waits for an upgrade to settle.
-func (c *Controller) RaiseFirst(ctx context.Context) {
+func (c *Controller) RaiseInitialLevel(ctx context.Context) {
 	c.awaitVotersListed(ctx)
 	for ctx.Err() == nil {
 		view := c.opts.Replica.View()
--- a/control/levels_test.go
+++ b/control/levels_test.go
@@ -44,7 +44,7 @@
 	member := &wire.Member{Box: "b", Incarnation: "i", Process: "p", Level: uint32(level.Newest)}
 	_, err := c.propose(context.Background(), &wire.Command{Kind: &wire.Command_Join{Join: member}})
 	g.Expect(err).NotTo(HaveOccurred())
-	c.RaiseFirst(context.Background())
+	c.RaiseInitialLevel(context.Background())
 	g.Expect(c.opts.Replica.View().Level).To(Equal(level.Newest))
 }
 
@@ -57,6 +57,6 @@
 		member := &wire.Member{Box: "b", Incarnation: "i", Process: "p", Level: uint32(level.Newest)}
 		_, _ = c.propose(context.Background(), &wire.Command{Kind: &wire.Command_Join{Join: member}}) // it leads
 	})
-	c.RaiseFirst(context.Background())
+	c.RaiseInitialLevel(context.Background())
 	g.Expect(c.opts.Replica.View().Level).To(Equal(level.Newest))
 }
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -19,7 +19,7 @@
 	c := newLeader(t)
 	view := c.opts.Replica.View
 	tell := func(server string, milli uint32) {
-		_ = c.Notice(context.Background(), &wire.Forward{Box: "b", Limits: []*wire.ServerLimit{{Server: server, Milli: milli}}}) // it leads
+		_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Limits: []*wire.ServerLimit{{Server: server, Milli: milli}}}) // it leads
 	}
 	tell("s", 1000)
 	g.Expect(view().Limits).To(BeEmpty(), "below the level that brings limits")
--- a/control/loads.go
+++ b/control/loads.go
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	_ = c.TakeCrashes(ctx, r) // a sign that is lost comes again with the next server that ends
+	_ = c.RecordCrashes(ctx, r) // a sign that is lost comes again with the next server that ends
 }
 
 // loadSigns returns the signs that have come since the last look.
--- a/control/notice_test.go
+++ b/control/notice_test.go
@@ -68,7 +68,7 @@
 	})
 	wg.Go(func() {
 		for range 50 {
-			_ = c.Notice(context.Background(), &wire.Forward{Box: "b", Unreached: []string{"s"}}) // the race is what counts
+			_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Unreached: []string{"s"}}) // the race is what counts
 		}
 	})
 	wg.Wait()
@@ -81,7 +81,7 @@
 	lines, logged := observer.New(zap.InfoLevel)
 	c.opts.Log = zap.New(lines)
 	crash := func() {
-		_ = c.Notice(context.Background(), &wire.Forward{Box: "b", Refusing: []string{"s"}}) // seen in the state
+		_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Refusing: []string{"s"}}) // seen in the state
 	}
 	silent := func() bool { return c.opts.Replica.View().Announcements.Get("s").Silent }
 	var wg sync.WaitGroup
--- a/control/orders.go
+++ b/control/orders.go
@@ -58,7 +58,7 @@
 func (c *Controller) finishUnfenced(ctx context.Context, o *wire.Order, s *fleet.Server, mine bool) {
 	if mine {
 		out, err := c.send(ctx, o, s)
-		if err == nil && ClosesAtOnce(o, out) {
+		if err == nil && ClosesImmediately(o, out) {
 			c.close(ctx, o, out)
 			return
 		}
@@ -73,24 +73,24 @@
 		if !ok || r.began.Before(latest) {
 			continue
 		}
-		if out, settled := Settle(o, r.state); settled {
+		if out, settled := OutcomeFromState(o, r.state); settled {
 			c.close(ctx, o, out)
 			return
 		}
 	}
 }
 
-// ClosesAtOnce reports whether the answer of a server that does not check
+// ClosesImmediately reports whether the answer of a server that does not check
 // fences closes an order. Only a load that was done does: after anything else a
 // load that is still on its way could arrive and would not be counted (4).
-func ClosesAtOnce(o *wire.Order, out engine.Outcome) bool {
+func ClosesImmediately(o *wire.Order, out engine.Outcome) bool {
 	return o.Action == wire.OrderAction_ORDER_LOAD && out.Done
 }
 
-// Settle says what became of an order by the server's state, which must have
+// OutcomeFromState says what became of an order by the server's state, which must have
 // been read after the order could not arrive any more. It is not settled while
 // the server is still loading.
-func Settle(o *wire.Order, st *engine.State) (out engine.Outcome, settled bool) {
+func OutcomeFromState(o *wire.Order, st *engine.State) (out engine.Outcome, settled bool) {
 	if loading(st, o) {
 		return engine.Outcome{}, false
 	}
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -256,7 +256,7 @@
 func (w *world) drive() {
 	for id, o := range w.st.Clone().Orders.All() {
 		f := w.servers[o.Server]
-		if out, answered := w.answers[id]; answered && (f.fences || control.ClosesAtOnce(o, out)) {
+		if out, answered := w.answers[id]; answered && (f.fences || control.ClosesImmediately(o, out)) {
 			w.close(id, out)
 			continue
 		}
@@ -282,7 +282,7 @@
 		latest = w.sent[o.Id] + orderLate
 	}
 	if r, ok := w.reports[o.Server]; ok && r.began > latest {
-		if out, settled := control.Settle(o, r.state); settled {
+		if out, settled := control.OutcomeFromState(o, r.state); settled {
 			w.close(o.Id, out)
 		}
 	}
@@ -487,17 +487,17 @@
 		{wire.OrderAction_ORDER_UNLOAD, true, false},
 		{wire.OrderAction_ORDER_UNLOAD, false, false},
 	} {
-		NewWithT(t).Expect(control.ClosesAtOnce(&wire.Order{Action: c.action}, engine.Outcome{Done: c.done})).To(Equal(c.want), "%+v", c)
+		NewWithT(t).Expect(control.ClosesImmediately(&wire.Order{Action: c.action}, engine.Outcome{Done: c.done})).To(Equal(c.want), "%+v", c)
 	}
 }
 
 func TestNothingIsSettledWhileLoading(t *testing.T) {
 	g := NewWithT(t)
 	o := &wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "s", Item: &wire.Item{Model: "m", Version: "1"}}
-	_, settled := control.Settle(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1", Loading: true}}})
+	_, settled := control.OutcomeFromState(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1", Loading: true}}})
 	g.Expect(settled).To(BeFalse())
-	out, settled := control.Settle(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1"}}})
+	out, settled := control.OutcomeFromState(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1"}}})
 	g.Expect(settled && out.Done).To(BeTrue())
-	out, settled = control.Settle(o, &engine.State{})
+	out, settled = control.OutcomeFromState(o, &engine.State{})
 	g.Expect(settled && !out.Done).To(BeTrue())
 }
--- a/control/pause.go
+++ b/control/pause.go
@@ -75,7 +75,9 @@
 	return held
 }
 
-func (c *Controller) rests(server string) bool { return c.opts.Rests != nil && c.opts.Rests(server) }
+func (c *Controller) rests(server string) bool {
+	return c.opts.InLongBackoff != nil && c.opts.InLongBackoff(server)
+}
 
 // inherited reports whether an order was given by an earlier leader.
 func (c *Controller) inherited(o *wire.Order) bool { return o.Term != c.term }
