--- a/bench/day_test.go
+++ b/bench/day_test.go
@@ -128,7 +128,7 @@
 func (d *day) demand(row []float64) map[string]placement.Demand {
 	m := map[string]placement.Demand{}
 	for i, name := range d.models {
-		m[name] = placement.Demand{Requests: row[i], Places: row[i] * serviceTime.Seconds()}
+		m[name] = placement.Demand{Requests: row[i], BusySlots: row[i] * serviceTime.Seconds()}
 	}
 	return m
 }
@@ -159,9 +159,9 @@
 		closeDue(st, due, step)
 		down := notice(st, d, step, wasDown)
 		seen := d.rates[max(0, step-1)]
-		in := placement.Input{State: st, Demand: d.demand(seen), Down: down, Since: time.Hour}
+		in := placement.Input{State: st, Demand: d.demand(seen), Down: down, LeaderFor: time.Hour}
 		if frozen {
-			in.Since = 0 // moves nothing for demand's sake
+			in.LeaderFor = 0 // moves nothing for demand's sake
 		}
 		for _, dec := range placement.Decide(in).Decisions {
 			if r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}}); r.Err == nil {
@@ -182,7 +182,7 @@
 	weight := st.Fleet.MoveWeight
 	st.Fleet.MoveWeight = min(weight, 1)
 	for range 1000 {
-		plan := placement.Decide(placement.Input{State: st, Demand: d.demand(d.mean()), Since: time.Hour})
+		plan := placement.Decide(placement.Input{State: st, Demand: d.demand(d.mean()), LeaderFor: time.Hour})
 		if len(plan.Decisions) == 0 {
 			st.Fleet.MoveWeight = weight
 			return
--- a/bench/decide_test.go
+++ b/bench/decide_test.go
@@ -26,11 +26,11 @@
 		name := fmt.Sprintf("%dx%d", size.servers, size.models)
 		b.Run(name+"/first", func(b *testing.B) {
 			st := empty(b, size.servers, size.accelerators, size.models)
-			decide(b, placement.Input{State: st, Since: time.Hour})
+			decide(b, placement.Input{State: st, LeaderFor: time.Hour})
 		})
 		b.Run(name+"/next", func(b *testing.B) {
 			st := placed(b, size.servers, size.accelerators, size.models, 6)
-			decide(b, placement.Input{State: st, Since: time.Hour, Demand: tenfold(size.models)})
+			decide(b, placement.Input{State: st, LeaderFor: time.Hour, Demand: tenfold(size.models)})
 		})
 	}
 }
@@ -48,9 +48,9 @@
 func tenfold(models int) map[string]placement.Demand {
 	d := map[string]placement.Demand{}
 	for i := range models {
-		d[fmt.Sprintf("m%d", i)] = placement.Demand{Requests: 5, Places: 10}
+		d[fmt.Sprintf("m%d", i)] = placement.Demand{Requests: 5, BusySlots: 10}
 	}
-	d["m0"] = placement.Demand{Requests: 100, Places: 200}
+	d["m0"] = placement.Demand{Requests: 100, BusySlots: 200}
 	return d
 }
 
--- a/bench/growth_test.go
+++ b/bench/growth_test.go
@@ -140,7 +140,7 @@
 func largeDemand() map[string]placement.Demand {
 	demand := map[string]placement.Demand{}
 	for i := range largeModels {
-		demand[fmt.Sprint("model", i)] = placement.Demand{Requests: 800 / float64(i+1), Places: 800 / float64(i+1), Reading: 20 / float64(i+1)}
+		demand[fmt.Sprint("model", i)] = placement.Demand{Requests: 800 / float64(i+1), BusySlots: 800 / float64(i+1), PrefillLoad: 20 / float64(i+1)}
 	}
 	return demand
 }
@@ -169,7 +169,7 @@
 	change(st)
 	demand := largeDemand()
 	return processor(t, 5, func() {
-		placement.Decide(placement.Input{State: st, Since: time.Hour, Demand: demand})
+		placement.Decide(placement.Input{State: st, LeaderFor: time.Hour, Demand: demand})
 	})
 }
 
--- a/bench/large_test.go
+++ b/bench/large_test.go
@@ -224,11 +224,11 @@
 	applyAll(b, st, largeEntries(b))
 	demand := map[string]placement.Demand{}
 	for i := range largeModels {
-		demand[fmt.Sprint("model", i)] = placement.Demand{Requests: 800 / float64(i+1), Places: 800 / float64(i+1)}
+		demand[fmt.Sprint("model", i)] = placement.Demand{Requests: 800 / float64(i+1), BusySlots: 800 / float64(i+1)}
 	}
 	b.ReportAllocs()
 	within(b, "a decision", mostLargeDecision, func() {
-		placement.Decide(placement.Input{State: st, Since: time.Hour, Demand: demand})
+		placement.Decide(placement.Input{State: st, LeaderFor: time.Hour, Demand: demand})
 	})
 }
 
@@ -250,6 +250,6 @@
 	}
 	b.ReportAllocs()
 	within(b, "a decision", mostLargeDecision, func() {
-		placement.Decide(placement.Input{State: st, Since: time.Hour, Wanted: wanted})
+		placement.Decide(placement.Input{State: st, LeaderFor: time.Hour, Awaited: wanted})
 	})
 }
--- a/control/beliefs_test.go
+++ b/control/beliefs_test.go
@@ -102,18 +102,18 @@
 	c := New(Options{})
 	start := time.Now()
 	in := func(after time.Duration) *placement.Input {
-		in := &placement.Input{State: st, Since: after, Settles: time.Second, Demand: map[string]placement.Demand{"asked": {Requests: 1}}}
+		in := &placement.Input{State: st, LeaderFor: after, DemandSettleTime: time.Second, Demand: map[string]placement.Demand{"asked": {Requests: 1}}}
 		c.weighModels(in, start.Add(after))
 		return in
 	}
 	first := in(0)
-	g.Expect(first.Patient).To(Equal(map[string]bool{"asked": true, "unasked": true}), "demand is not known yet")
+	g.Expect(first.Deferred).To(Equal(map[string]bool{"asked": true, "unasked": true}), "demand is not known yet")
 	second := in(2 * time.Second)
-	g.Expect(second.Patient["asked"]).To(BeFalse())
-	g.Expect(second.Patient["unasked"]).To(BeTrue(), "its server may come back")
+	g.Expect(second.Deferred["asked"]).To(BeFalse())
+	g.Expect(second.Deferred["unasked"]).To(BeTrue(), "its server may come back")
 	g.Expect(second.Idle["there"]).To(BeFalse())
 	late := in(idleAfter + time.Second)
-	g.Expect(late.Patient["unasked"]).To(BeFalse())
+	g.Expect(late.Deferred["unasked"]).To(BeFalse())
 	g.Expect(late.Idle).To(And(HaveKeyWithValue("there", true), HaveKeyWithValue("asked", false)))
 }
 
--- a/control/decide.go
+++ b/control/decide.go
@@ -41,7 +41,7 @@
 func (c *Controller) demand(view *state.State) map[string]placement.Demand {
 	demand := map[string]placement.Demand{}
 	for model, d := range c.opts.Spread.Demand() {
-		demand[model] = placement.Demand{Requests: float64(d.MilliRequests) / 1000, Places: float64(d.MilliPlaces) / 1000, Reading: float64(d.MilliReading) / 1000}
+		demand[model] = placement.Demand{Requests: float64(d.MilliRequests) / 1000, BusySlots: float64(d.MilliPlaces) / 1000, PrefillLoad: float64(d.MilliReading) / 1000}
 	}
 	c.steady.note(demand, time.Now())
 	for name, m := range view.Fleet.Models {
@@ -55,8 +55,8 @@
 // decide issues what placement asks for, at the rate of the weight store.
 func (c *Controller) decide(ctx context.Context, view *state.State) {
 	in := placement.Input{
-		State: view, Demand: c.demand(view), Down: c.down(view), Held: c.held(view, time.Now()),
-		Resting: c.restingServers(view, time.Now()), Wanted: c.wants(), Since: time.Since(c.ledSince), Settles: c.opts.DemandSettleTime,
+		State: view, Demand: c.demand(view), Down: c.down(view), NoOrders: c.held(view, time.Now()),
+		InBackoff: c.restingServers(view, time.Now()), Awaited: c.wants(), LeaderFor: time.Since(c.ledSince), DemandSettleTime: c.opts.DemandSettleTime,
 	}
 	c.weighModels(&in, time.Now())
 	plan := placement.Decide(in)
@@ -107,9 +107,9 @@
 func (c *Controller) noteShortages(list []placement.Shortage) {
 	next := map[string]string{}
 	for _, s := range list {
-		next[s.Model] = s.Why
+		next[s.Model] = s.Reason
 		if c.short[s.Model] == "" {
-			c.opts.Records.Note(record.Model, s.Model, "not placed", s.Why)
+			c.opts.Records.Note(record.Model, s.Model, "not placed", s.Reason)
 		}
 	}
 	c.short = next
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -207,9 +207,9 @@
 func (w *world) decide() {
 	demand := map[string]placement.Demand{}
 	for i := range 5 {
-		demand[fmt.Sprint("m", i)] = placement.Demand{Requests: 10, Places: float64(rapid.IntRange(0, 12).Draw(w.t, "places"))}
+		demand[fmt.Sprint("m", i)] = placement.Demand{Requests: 10, BusySlots: float64(rapid.IntRange(0, 12).Draw(w.t, "places"))}
 	}
-	plan := placement.Decide(placement.Input{State: w.st, Demand: demand, Down: w.down(), Since: time.Hour})
+	plan := placement.Decide(placement.Input{State: w.st, Demand: demand, Down: w.down(), LeaderFor: time.Hour})
 	for _, d := range plan.Decisions {
 		w.issue(d.Order)
 	}
@@ -414,7 +414,7 @@
 			w.arrive(0, false, true)
 		}
 		w.drive()
-		plan := placement.Decide(placement.Input{State: w.st, Since: time.Hour})
+		plan := placement.Decide(placement.Input{State: w.st, LeaderFor: time.Hour})
 		for _, d := range plan.Decisions {
 			if r := w.agree(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}}); r.Err == nil {
 				r.Order.Term = w.term
--- a/control/patience.go
+++ b/control/patience.go
@@ -21,17 +21,17 @@
 // (placement, rules 13 and 14).
 func (c *Controller) weighModels(in *placement.Input, now time.Time) {
 	c.noteLacking(in, now)
-	in.Patient, in.Idle = map[string]bool{}, map[string]bool{}
-	c.anyAsked = c.anyAsked || len(in.Demand)+len(in.Wanted) > 0
-	known := in.Since >= in.Settles && c.anyAsked
+	in.Deferred, in.Idle = map[string]bool{}, map[string]bool{}
+	c.anyAsked = c.anyAsked || len(in.Demand)+len(in.Awaited) > 0
+	known := in.LeaderFor >= in.DemandSettleTime && c.anyAsked
 	for name := range in.State.Fleet.Models {
-		asked := in.Demand[name].Requests > 0 || in.Wanted[name]
+		asked := in.Demand[name].Requests > 0 || in.Awaited[name]
 		if _, ok := c.askedAt[name]; asked || !ok {
 			c.askedAt[name] = now // a new leader knows nothing of the time before
 		}
 		in.Idle[name] = now.Sub(c.askedAt[name]) >= idleAfter
 		if since, lacks := c.lacking[name]; lacks {
-			in.Patient[name] = !known || !asked && now.Sub(since) < patience
+			in.Deferred[name] = !known || !asked && now.Sub(since) < patience
 		}
 	}
 }
--- a/control/steady.go
+++ b/control/steady.go
@@ -35,7 +35,7 @@
 	s.at = now
 	for name, d := range demand {
 		s.rates[name] += part * (d.Requests - s.rates[name])
-		d.Steady = s.rates[name]
+		d.LongTermRequests = s.rates[name]
 		demand[name] = d
 	}
 	for name, rate := range s.rates {
@@ -48,7 +48,7 @@
 			continue
 		}
 		s.rates[name] = rate
-		demand[name] = placement.Demand{Steady: rate}
+		demand[name] = placement.Demand{LongTermRequests: rate}
 	}
 }
 
--- a/control/steady_test.go
+++ b/control/steady_test.go
@@ -20,7 +20,7 @@
 			demand["m"] = placement.Demand{Requests: requests}
 		}
 		s.note(demand, now)
-		return demand["m"].Steady
+		return demand["m"].LongTermRequests
 	}
 	g.Expect(note(2)).To(BeNumerically("~", 2, 1e-9), "the first rates are taken for the average")
 	g.Expect(note(20)).To(BeNumerically("~", 2+18*0.095, 0.1), "a rise shows slowly")
--- a/placement/clear_test.go
+++ b/placement/clear_test.go
@@ -14,7 +14,7 @@
 // missed meanwhile.
 func TestCopiesThatRequestsRunOnTakeTimeToGo(t *testing.T) {
 	g := NewWithT(t)
-	p := &planner{fleet: fleet.New(), served: map[string][]copyOf{}, in: Input{Demand: map[string]Demand{"busy": {Places: 2}, "quiet": {Places: 0.1}}}}
+	p := &planner{fleet: fleet.New(), served: map[string][]copyOf{}, in: Input{Demand: map[string]Demand{"busy": {BusySlots: 2}, "quiet": {BusySlots: 0.1}}}}
 	copyOn := func(model string) copyOf {
 		c := copyOf{&accelerator{load: &load{size: 1}}, &wire.Resident{Item: &wire.Item{Model: model}, Phase: wire.Phase_PHASE_READY}}
 		p.fleet.Models[model] = &fleet.Model{Name: model}
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -64,7 +64,7 @@
 // followAbove is rule 7 for the moves that spare more than so many requests a second
 // (1).
 func (p *planner) followAbove(rate float64) {
-	if p.in.Since < cmp.Or(p.in.Settles, DefaultDemandSettleTime) {
+	if p.in.LeaderFor < cmp.Or(p.in.DemandSettleTime, DefaultDemandSettleTime) {
 		return
 	}
 	for p.moves < movesAtOnce {
@@ -181,12 +181,12 @@
 	d := p.in.Demand[m.Name]
 	list := p.serving(m)
 	if p.returns(m) { // (15)
-		if p.in.Patient[m.Name] || p.in.Idle[m.Name] {
+		if p.in.Deferred[m.Name] || p.in.Idle[m.Name] {
 			return nil
 		}
 		return p.placeFor(m, freeOnly)
 	}
-	if d.Places+d.Reading == 0 || len(list) == 0 || len(list) >= m.MaxCopies {
+	if d.BusySlots+d.PrefillLoad == 0 || len(list) == 0 || len(list) >= m.MaxCopies {
 		return nil
 	}
 	if !slices.ContainsFunc(list, func(c copyOf) bool { return c.acc.load.late() > 0 }) {
@@ -241,7 +241,7 @@
 func (p *planner) clearTime(out []copyOf) time.Duration {
 	for _, c := range out {
 		m := p.fleet.Models[c.resident.Item.Model]
-		if p.in.Demand[m.Name].Places/float64(max(1, len(p.serving(m)))) > clearIdle {
+		if p.in.Demand[m.Name].BusySlots/float64(max(1, len(p.serving(m)))) > clearIdle {
 			return clearBusy
 		}
 	}
@@ -288,7 +288,7 @@
 // steady is the rate of requests for a model over a longer time.
 func (p *planner) steady(m *fleet.Model) float64 {
 	d := p.in.Demand[m.Name]
-	return cmp.Or(d.Steady, d.Requests)
+	return cmp.Or(d.LongTermRequests, d.Requests)
 }
 
 // spared returns how many requests a second fewer come too late with one more
--- a/placement/kept_test.go
+++ b/placement/kept_test.go
@@ -57,7 +57,7 @@
 				name := fmt.Sprint("model", i)
 				if r.IntN(3) > 0 {
 					q := r.ExpFloat64() * 20
-					demand[name] = Demand{Requests: q, Places: q * r.Float64() * 3, Steady: q * r.Float64(), Reading: r.Float64() * 0.6}
+					demand[name] = Demand{Requests: q, BusySlots: q * r.Float64() * 3, LongTermRequests: q * r.Float64(), PrefillLoad: r.Float64() * 0.6}
 				}
 				patient[name], idle[name] = r.IntN(9) == 0, r.IntN(5) == 0
 				if r.IntN(6) == 0 {
@@ -70,7 +70,7 @@
 				down[fmt.Sprintf("i-%d", i)] = r.IntN(8) == 0
 				held[fmt.Sprintf("i-%d", i)] = r.IntN(8) == 0
 			}
-			in := Input{State: st, Demand: demand, Patient: patient, Idle: idle, Wanted: wanted, Down: down, Held: held, Since: time.Hour}
+			in := Input{State: st, Demand: demand, Deferred: patient, Idle: idle, Awaited: wanted, Down: down, NoOrders: held, LeaderFor: time.Hour}
 			plan := Decide(in)
 			in.afresh = true
 			if want := Decide(in); told(plan) != told(want) {
@@ -95,7 +95,7 @@
 		fmt.Fprintln(&b, d.Order.Action, d.Order.Server, d.Order.Item.Model, d.Order.Item.Adapter, d.Order.RoomFor, d.Reason)
 	}
 	for _, s := range p.Shortages {
-		fmt.Fprintln(&b, s.Model, s.Why)
+		fmt.Fprintln(&b, s.Model, s.Reason)
 	}
 	return b.String()
 }
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -26,7 +26,7 @@
 
 // limitOf returns the limit of a server, in requests a second; 0 for none.
 func (p *planner) limitOf(server string) float64 {
-	if p.in.Resting[server] {
+	if p.in.InBackoff[server] {
 		return restingLimit
 	}
 	if len(p.in.State.Limits) == 0 {
@@ -36,7 +36,7 @@
 }
 
 // unlimited reports whether no server has a limit.
-func (p *planner) unlimited() bool { return len(p.in.State.Limits) == 0 && len(p.in.Resting) == 0 }
+func (p *planner) unlimited() bool { return len(p.in.State.Limits) == 0 && len(p.in.InBackoff) == 0 }
 
 // limitPart is the most that one copy on a limited server has of its limit (1).
 func limitPart(a *accelerator) float64 { return a.load.limit / float64(max(1, a.stood)) }
--- a/placement/limits_move_test.go
+++ b/placement/limits_move_test.go
@@ -55,7 +55,7 @@
 	}
 	for i := range fullModels {
 		rate := perSecond * math.Pow(float64(i+1), -0.8) / sum
-		f.demand[modelName(i)] = Demand{Requests: rate, Places: rate, Steady: rate, Reading: rate * 0.02}
+		f.demand[modelName(i)] = Demand{Requests: rate, BusySlots: rate, LongTermRequests: rate, PrefillLoad: rate * 0.02}
 	}
 	return f
 }
@@ -73,7 +73,7 @@
 func (f *fullFleet) settle() (orders int) {
 	for range 40 {
 		before := orders
-		for _, d := range Decide(Input{State: f.State, Demand: f.demand, Since: time.Hour}).Decisions {
+		for _, d := range Decide(Input{State: f.State, Demand: f.demand, LeaderFor: time.Hour}).Decisions {
 			r := f.agree(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
 			if r.Err != nil {
 				continue
@@ -148,7 +148,7 @@
 			came++
 		}
 		rate := came + (before[name].Requests-came)*math.Exp(-1.0/3)
-		next[name] = Demand{Requests: rate, Places: rate, Steady: truth[name].Requests, Reading: rate * 0.02}
+		next[name] = Demand{Requests: rate, BusySlots: rate, LongTermRequests: truth[name].Requests, PrefillLoad: rate * 0.02}
 	}
 	return next
 }
@@ -198,7 +198,7 @@
 			for now := range span {
 				f.closeDue(open, now)
 				f.demand = f.estimated(r, f.demand, truth)
-				loads += f.issue(Decide(Input{State: f.State, Demand: f.demand, Since: time.Hour}), open, now)
+				loads += f.issue(Decide(Input{State: f.State, Demand: f.demand, LeaderFor: time.Hour}), open, now)
 				estimates := f.demand
 				f.demand = truth
 				refused += f.refused()
--- a/placement/limits_test.go
+++ b/placement/limits_test.go
@@ -31,7 +31,7 @@
 `
 
 var _ = Describe("servers that name a limit", func() {
-	demand := map[string]placement.Demand{"m": {Requests: 8, Places: 2}}
+	demand := map[string]placement.Demand{"m": {Requests: 8, BusySlots: 2}}
 
 	It("are a reason for another copy elsewhere where they alone hold the model", func() {
 		st := agreed(limitedFleet)
@@ -55,7 +55,7 @@
 		st := agreed(limitedFleet)
 		settle(st, demand)
 		limitOn(st, copies(st, "m", "1")[0], 100)
-		plan := placement.Decide(placement.Input{State: st, Demand: demand, Since: time.Hour})
+		plan := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		Expect(plan.Decisions).To(BeEmpty())
 	})
 })
--- a/placement/load.go
+++ b/placement/load.go
@@ -19,8 +19,8 @@
 
 // add books a part of a model's demand.
 func (l *load) add(d Demand, part float64) {
-	l.work += part * d.Places
-	l.reading += part * d.Reading
+	l.work += part * d.BusySlots
+	l.reading += part * d.PrefillLoad
 	l.requests += part * d.Requests
 }
 
--- a/placement/load_test.go
+++ b/placement/load_test.go
@@ -11,7 +11,7 @@
 // is asked of it, or a copy that relieves an overloaded server seems worth nothing.
 func TestMoreRequestsNeverServeFewer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one := Demand{Requests: 1, Places: rapid.Float64Range(0, 2).Draw(t, "places"), Reading: rapid.Float64Range(0, 0.2).Draw(t, "reading")}
+		one := Demand{Requests: 1, BusySlots: rapid.Float64Range(0, 2).Draw(t, "places"), PrefillLoad: rapid.Float64Range(0, 0.2).Draw(t, "reading")}
 		before := 0.0
 		for n := 1.0; n < 200; n++ {
 			l := load{size: 48, good: 0.7}
@@ -28,9 +28,9 @@
 func TestReadingAndPlacesAreApart(t *testing.T) {
 	g := NewWithT(t)
 	quick := load{size: 48, good: 0.7}
-	quick.add(Demand{Requests: 60, Places: 72, Reading: 0.1}, 1)
+	quick.add(Demand{Requests: 60, BusySlots: 72, PrefillLoad: 0.1}, 1)
 	g.Expect(quick.late()).To(BeNumerically(">", 20), "a quick model fills the places")
 	slow := load{size: 48, good: 0.7}
-	slow.add(Demand{Requests: 20, Places: 20, Reading: 0.6}, 1)
+	slow.add(Demand{Requests: 20, BusySlots: 20, PrefillLoad: 0.6}, 1)
 	g.Expect(slow.late()).To(BeNumerically(">", 5), "a slow one the time")
 }
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -39,7 +39,7 @@
 // isAsked reports whether a model is asked for, now or now and then, or requests wait for it.
 func (p *planner) isAsked(m *fleet.Model) bool {
 	d := p.in.Demand[m.Name]
-	return d.Requests > 0 || d.Steady > 0 || p.in.Wanted[m.Name]
+	return d.Requests > 0 || d.LongTermRequests > 0 || p.in.Awaited[m.Name]
 }
 
 // mostWithoutRoom is the share of all models that there is room for below which models that nobody asks for do without a
@@ -100,7 +100,7 @@
 // fasterElsewhere reports whether a model that is asked for comes sooner by room made
 // on a server that has it at hand than on one with free room (12).
 func (p *planner) fasterElsewhere(n need, a *accelerator) bool {
-	if !p.asksFor(n.model) || p.atHand(n.model, a) || p.in.Patient[n.model.Name] || p.roomFor[n.model.Name] {
+	if !p.asksFor(n.model) || p.atHand(n.model, a) || p.in.Deferred[n.model.Name] || p.roomFor[n.model.Name] {
 		return false
 	}
 	best := p.leastHarm(n)
@@ -207,7 +207,7 @@
 
 // makeRoom is rule 5. The copy itself is placed once the room is there.
 func (p *planner) makeRoom(n need) {
-	if p.roomFor[n.model.Name] || p.in.Patient[n.model.Name] { // (11, 13)
+	if p.roomFor[n.model.Name] || p.in.Deferred[n.model.Name] { // (11, 13)
 		return
 	}
 	best := p.leastHarm(n)
@@ -434,7 +434,7 @@
 	}
 	place := ledger.Location{Server: a.server.Name, Accelerator: a.number, Model: name, Version: m.Version}
 	enough := ready >= 1 && (which&forFirst != 0 || all > p.least(m))
-	spare := enough || which&forAsked != 0 && all == 1 && p.atHand(m, a) && !p.in.Wanted[name] && p.in.Demand[name].Requests < rareBelow && (p.in.Idle[name] || p.steady(m) < rareBelow) // (14, 15)
+	spare := enough || which&forAsked != 0 && all == 1 && p.atHand(m, a) && !p.in.Awaited[name] && p.in.Demand[name].Requests < rareBelow && (p.in.Idle[name] || p.steady(m) < rareBelow) // (14, 15)
 	return here, found && spare && p.settled(m, a) && p.in.State.OrphanedAdapter(place) == ""
 }
 
--- a/placement/ondemand.go
+++ b/placement/ondemand.go
@@ -12,9 +12,9 @@
 
 // adaptersOnDemand is rule 9.
 func (p *planner) adaptersOnDemand() {
-	for _, name := range slices.Sorted(maps.Keys(p.in.Wanted)) {
+	for _, name := range slices.Sorted(maps.Keys(p.in.Awaited)) {
 		a := p.fleet.Adapters[name]
-		if a == nil || !a.OnDemand || !p.in.Wanted[name] || p.adapterServed(a) {
+		if a == nil || !a.OnDemand || !p.in.Awaited[name] || p.adapterServed(a) {
 			continue
 		}
 		p.placeAdapter(a)
@@ -75,7 +75,7 @@
 
 func (p *planner) evictable(acc *accelerator, place ledger.Location, r *wire.Resident) bool {
 	return place.Server == acc.server.Name && place.Accelerator == acc.number && place.Adapter != "" &&
-		r.Phase == wire.Phase_PHASE_READY && !p.in.Wanted[place.Adapter]
+		r.Phase == wire.Phase_PHASE_READY && !p.in.Awaited[place.Adapter]
 }
 
 // least is the least number of copies of a model (10).
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -73,15 +73,15 @@
 type Demand struct {
 	// Requests is in requests a second, those refused included.
 	Requests float64
-	// Places is how many requests of it are in service on average, if none is
+	// BusySlots is how many requests of it are in service on average, if none is
 	// refused.
-	Places float64
-	// Steady is the rate of requests over a longer time, for models that are asked for
+	BusySlots float64
+	// LongTermRequests is the rate of requests over a longer time, for models that are asked for
 	// now and then; 0 where that is not known.
-	Steady float64
-	// Reading is how many servers it keeps busy by the reading of its prompts; 0 where
+	LongTermRequests float64
+	// PrefillLoad is how many servers it keeps busy by the reading of its prompts; 0 where
 	// that is not known.
-	Reading float64
+	PrefillLoad float64
 }
 
 // Input is what a decision is made from.
@@ -92,22 +92,22 @@
 	// Down names servers that do not answer; they get no orders and their
 	// copies do not count.
 	Down map[string]bool
-	// Held names servers that get no orders now, though their copies count.
-	Held map[string]bool
-	// Resting names servers that want no requests for so long that other copies of their models are worth a move.
-	Resting map[string]bool
-	// Since is how long the box has led. A new leader first lets demand be
+	// NoOrders names servers that get no orders now, though their copies count.
+	NoOrders map[string]bool
+	// InBackoff names servers that want no requests for so long that other copies of their models are worth a move.
+	InBackoff map[string]bool
+	// LeaderFor is how long the box has led. A new leader first lets demand be
 	// reported to it before it moves anything for demand's sake.
-	Since time.Duration
-	// Patient names models that no room is made for yet (13).
-	Patient map[string]bool
+	LeaderFor time.Duration
+	// Deferred names models that no room is made for yet (13).
+	Deferred map[string]bool
 	// Idle names models that nobody has asked for lately (14).
 	Idle map[string]bool
-	// Wanted are models and on-demand adapters that requests wait for.
-	Wanted map[string]bool
-	// Settles is how long a new leader waits for demand to be reported; 0:
+	// Awaited are models and on-demand adapters that requests wait for.
+	Awaited map[string]bool
+	// DemandSettleTime is how long a new leader waits for demand to be reported; 0:
 	// DemandSettles.
-	Settles time.Duration
+	DemandSettleTime time.Duration
 
 	// afresh has everything found anew each time, for a test of what is kept.
 	afresh bool
@@ -121,8 +121,8 @@
 
 // Shortage says that a model has no room.
 type Shortage struct {
-	Model string
-	Why   string
+	Model  string
+	Reason string
 }
 
 // Plan is what is to be done next.
@@ -217,7 +217,7 @@
 		for n := range s.Kind.Accelerators {
 			a := &accelerator{server: s, load: l, number: uint32(n), free: int64(s.Kind.Usable()), models: map[string]bool{}, unusable: unusable}
 			a.hand = seen.GetAtHand()
-			a.busy = unusable || in.Held[s.Name] || seen.GetQuarantined()
+			a.busy = unusable || in.NoOrders[s.Name] || seen.GetQuarantined()
 			p.index[s.Name] = append(p.index[s.Name], a)
 			p.accs = append(p.accs, a)
 		}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -44,7 +44,7 @@
 // settle decides and carries out until nothing is left to do.
 func settle(st *state.State, demand map[string]placement.Demand) (orders int, plan placement.Plan) {
 	for range 400 {
-		plan = placement.Decide(placement.Input{State: st, Demand: demand, Since: time.Hour})
+		plan = placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		issued, refused := carryOut(st, plan)
 		ExpectWithOffset(1, refused).To(BeZero(), "the plan must respect the ledger")
 		orders += issued
@@ -125,14 +125,14 @@
 		st := agreed(string(text))
 		demand := map[string]placement.Demand{}
 		for i, m := range st.Fleet.SortedModels() {
-			demand[m.Name] = placement.Demand{Requests: 1.1 * float64(i), Places: 0.37 * float64(i)}
+			demand[m.Name] = placement.Demand{Requests: 1.1 * float64(i), BusySlots: 0.37 * float64(i)}
 		}
 		st.Fleet.MoveWeight = 0
 		settle(st, nil)
-		first := placement.Decide(placement.Input{State: st, Demand: demand, Since: time.Hour})
+		first := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		Expect(first.Decisions).NotTo(BeEmpty())
 		for range 20 {
-			again := placement.Decide(placement.Input{State: st, Demand: demand, Since: time.Hour})
+			again := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 			Expect(again).To(Equal(first))
 		}
 	})
@@ -172,7 +172,7 @@
 
 	It("adds a copy when demand is worth the move, and not when it is not", func() {
 		text := two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
-		heavy := map[string]placement.Demand{"m": {Requests: 20, Places: 16}}
+		heavy := map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}}
 		st := agreed(text)
 		settle(st, heavy)
 		Expect(len(copies(st, "m", "1"))).To(BeNumerically(">=", 2))
@@ -184,8 +184,8 @@
 
 	It("leaves copies where they are when demand falls", func() {
 		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
-		settle(st, map[string]placement.Demand{"m": {Requests: 20, Places: 16}})
-		orders, _ := settle(st, map[string]placement.Demand{"m": {Requests: 1, Places: 1}})
+		settle(st, map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}})
+		orders, _ := settle(st, map[string]placement.Demand{"m": {Requests: 1, BusySlots: 1}})
 		Expect(orders).To(BeZero())
 	})
 
@@ -273,9 +273,9 @@
 	It("gives no orders to servers that another leader ordered lately, and counts their copies", func() {
 		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
 		held := map[string]bool{"s1": true, "s2": true, "s3": true}
-		Expect(placement.Decide(placement.Input{State: st, Held: held}).Decisions).To(BeEmpty())
+		Expect(placement.Decide(placement.Input{State: st, NoOrders: held}).Decisions).To(BeEmpty())
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 4<<30)
-		Expect(placement.Decide(placement.Input{State: st, Held: map[string]bool{"s1": true}}).Decisions).To(BeEmpty())
+		Expect(placement.Decide(placement.Input{State: st, NoOrders: map[string]bool{"s1": true}}).Decisions).To(BeEmpty())
 	})
 
 	// A new leader to which demand was not told yet took hot copies away for models
@@ -285,7 +285,7 @@
 		for _, server := range []string{"s1", "s2", "s3"} {
 			standin.Ready(st, server, 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		}
-		Expect(placement.Decide(placement.Input{State: st, Patient: map[string]bool{"n": true}}).Decisions).To(BeEmpty())
+		Expect(placement.Decide(placement.Input{State: st, Deferred: map[string]bool{"n": true}}).Decisions).To(BeEmpty())
 		Expect(placement.Decide(placement.Input{State: st}).Decisions).NotTo(BeEmpty())
 	})
 
@@ -293,15 +293,15 @@
 		st := agreed(two + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		in := placement.Input{
-			State: st, Demand: map[string]placement.Demand{"n": {Requests: 5, Places: 1}}, Down: map[string]bool{"s2": true, "s3": true},
-			Idle: map[string]bool{"m": true}, Since: time.Hour,
+			State: st, Demand: map[string]placement.Demand{"n": {Requests: 5, BusySlots: 1}}, Down: map[string]bool{"s2": true, "s3": true},
+			Idle: map[string]bool{"m": true}, LeaderFor: time.Hour,
 		}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty(), "it would have to come from the weight store again")
 		st.Servers.Get("s1").AtHand = []string{"m"}
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("m"))
 		in.Idle = nil
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("m"), "nor does one that nobody asked for yet stay (15)")
-		in.Demand["m"] = placement.Demand{Requests: 0.2, Steady: 2}
+		in.Demand["m"] = placement.Demand{Requests: 0.2, LongTermRequests: 2}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty(), "m is asked for all the time")
 	})
 
@@ -313,32 +313,32 @@
 			st.Fleet.DemandLasts, st.Fleet.MoveWeight = 15*time.Second, 3
 			standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 			st.Servers.Get("s2").AtHand = []string{"rare", "hot"}
-			in = placement.Input{State: st, Down: map[string]bool{"s3": true}, Since: time.Hour}
+			in = placement.Input{State: st, Down: map[string]bool{"s3": true}, LeaderFor: time.Hour}
 		})
-		hot := placement.Demand{Requests: 40, Steady: 40, Reading: 0.9}
+		hot := placement.Demand{Requests: 40, LongTermRequests: 40, PrefillLoad: 0.9}
 
 		It("takes the last copy of a rare model for one that is asked for all the time", func() {
 			standin.Ready(st, "s2", 0, &wire.Item{Model: "rare", Version: "1"}, 7<<30)
-			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, Steady: 0.4}}
+			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "hot")))
-			in.Demand["rare"] = placement.Demand{Requests: 4, Steady: 4}
+			in.Demand["rare"] = placement.Demand{Requests: 4, LongTermRequests: 4}
 			Expect(placement.Decide(in).Decisions).To(BeEmpty(), "it is asked for too often to come and go")
-			in.Demand = map[string]placement.Demand{"hot": {Requests: 5, Steady: 5, Reading: 0.26}}
+			in.Demand = map[string]placement.Demand{"hot": {Requests: 5, LongTermRequests: 5, PrefillLoad: 0.26}}
 			Expect(placement.Decide(in).Decisions).To(BeEmpty(), "a little gain is not worth it, though nobody asked for the other yet")
 		})
 
 		It("leaves the room that was made to whom it was made for", func() {
-			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, Steady: 0.4}}
+			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("hot"))
 		})
 
 		It("brings a model back that is asked for", func() {
 			standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
-			in.Demand = map[string]placement.Demand{"hot": {Requests: 1, Steady: 1, Reading: 0.1}, "rare": {Requests: 1, Steady: 0.4}}
+			in.Demand = map[string]placement.Demand{"hot": {Requests: 1, LongTermRequests: 1, PrefillLoad: 0.1}, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "rare")))
 			// It rose from nothing to most of all requests within seconds, and what it was
 			// asked for on average would have left it without a copy for the whole time.
-			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 100, Steady: 20, Reading: 0.3, Places: 12}}
+			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 100, LongTermRequests: 20, PrefillLoad: 0.3, BusySlots: 12}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "rare")))
 		})
 
@@ -349,7 +349,7 @@
 				st.Servers.Get(server).AtHand = []string{"a", "b", "hot"}
 			}
 			in.State, in.Down = st, map[string]bool{"s1": true}
-			in.Demand = map[string]placement.Demand{"hot": {Requests: 50, Steady: 50, Reading: 0.5}}
+			in.Demand = map[string]placement.Demand{"hot": {Requests: 50, LongTermRequests: 50, PrefillLoad: 0.5}}
 			Expect(placement.Decide(in).Decisions).To(HaveLen(1))
 		})
 	})
@@ -359,13 +359,13 @@
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		in := placement.Input{
-			State: st, Down: map[string]bool{"s3": true}, Since: time.Hour,
-			Demand: map[string]placement.Demand{"hot": {Requests: 40, Reading: 0.8}, "rare": {Requests: 1, Steady: 0.3}},
+			State: st, Down: map[string]bool{"s3": true}, LeaderFor: time.Hour,
+			Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.8}, "rare": {Requests: 1, LongTermRequests: 0.3}},
 		}
 		Expect(placement.Decide(in).Decisions).NotTo(BeEmpty(), "nothing has it: it must stay reachable")
 		st.Servers.Get("s2").AtHand = []string{"rare"}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty())
-		in.Demand["hot"] = placement.Demand{Requests: 1, Reading: 0.02}
+		in.Demand["hot"] = placement.Demand{Requests: 1, PrefillLoad: 0.02}
 		Expect(placement.Decide(in).Decisions[0].Order.RoomFor).To(Equal("rare"), "where that costs little it has its place")
 	})
 
@@ -376,10 +376,10 @@
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		st.Orders.Set(9, &wire.Order{Id: 9, Action: wire.OrderAction_ORDER_UNLOAD, Server: "s2", Item: &wire.Item{Model: "idle", Version: "1"}, RoomFor: "hot"})
-		plan := placement.Decide(placement.Input{State: st, Demand: map[string]placement.Demand{"hot": {Requests: 40, Reading: 0.9}}, Since: time.Hour})
+		plan := placement.Decide(placement.Input{State: st, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}}, LeaderFor: time.Hour})
 		Expect(plan.Decisions).To(ConsistOf(HaveField("Order.Server", "s3")))
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
-		again := placement.Decide(placement.Input{State: st, Demand: map[string]placement.Demand{"hot": {Requests: 40, Reading: 0.9}}, Since: time.Hour})
+		again := placement.Decide(placement.Input{State: st, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}}, LeaderFor: time.Hour})
 		Expect(again.Decisions).To(BeEmpty(), "no more room is made")
 		Expect(plan.Decisions[0].Order.Item.Model).To(Equal("hot"))
 	})
@@ -391,13 +391,13 @@
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		standin.Ready(st, "s4", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		in := placement.Input{
-			State: st, Held: map[string]bool{"s3": true, "s4": true, "s5": true}, Down: map[string]bool{"s5": true}, Since: time.Hour,
-			Demand: map[string]placement.Demand{"hot": {Requests: 40, Reading: 0.9}, "new": {Requests: 0.2}},
+			State: st, NoOrders: map[string]bool{"s3": true, "s4": true, "s5": true}, Down: map[string]bool{"s5": true}, LeaderFor: time.Hour,
+			Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}, "new": {Requests: 0.2}},
 		}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty())
-		in.Held = nil
+		in.NoOrders = nil
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("idle"))
-		in.Held, in.Down = map[string]bool{"s1": true, "s5": true}, map[string]bool{"s3": true, "s4": true, "s5": true}
+		in.NoOrders, in.Down = map[string]bool{"s1": true, "s5": true}, map[string]bool{"s3": true, "s4": true, "s5": true}
 		Expect(placement.Decide(in).Decisions[0].Order.Server).To(Equal("s2"), "no other way is in sight")
 	})
 
@@ -405,7 +405,7 @@
 		st := agreed(two + more + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		st.Fleet.LoadsAtOnce = 1
 		st.Orders.Set(9, &wire.Order{Id: 9, Action: wire.OrderAction_ORDER_LOAD, Server: "s5", Item: &wire.Item{Model: "hot", Version: "1"}})
-		in := placement.Input{State: st, Since: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 1}}}
+		in := placement.Input{State: st, LeaderFor: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 1}}}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty())
 		in.Down = map[string]bool{"s5": true}
 		Expect(placement.Decide(in).Decisions).NotTo(BeEmpty())
@@ -417,7 +417,7 @@
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
 		standin.Ready(st, "s4", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
-		in := placement.Input{State: st, Since: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 40, Reading: 0.9}, "a": {Requests: 0.5, Places: 2}}}
+		in := placement.Input{State: st, LeaderFor: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}, "a": {Requests: 0.5, BusySlots: 2}}}
 		st.Fleet.DemandLasts, st.Fleet.MoveWeight = 15*time.Second, 1
 		standin.Ready(st, "s5", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("b"))
@@ -428,15 +428,15 @@
 	It("loads what serves the most requests first (1)", func() {
 		st := agreed(two + "[model hot]\nversion = 1\nmemory = 4GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 4GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 4<<30)
-		demand := map[string]placement.Demand{"hot": {Requests: 100, Places: 30}, "rare": {Requests: 0.3, Places: 0.1}}
-		plan := placement.Decide(placement.Input{State: st, Demand: demand, Since: time.Hour})
+		demand := map[string]placement.Demand{"hot": {Requests: 100, BusySlots: 30}, "rare": {Requests: 0.3, BusySlots: 0.1}}
+		plan := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		Expect(plan.Decisions[0].Order.Item.Model).To(Equal("hot"))
 		Expect(plan.Decisions).To(ContainElement(HaveField("Reason", "no copy")))
 	})
 
 	It("weighs a move by how long demand lasts", func() {
 		text := two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
-		heavy := map[string]placement.Demand{"m": {Requests: 20, Places: 16}}
+		heavy := map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}}
 		brief := agreed(text)
 		brief.Fleet.DemandLasts, brief.Fleet.MoveWeight = time.Second, 0.1
 		brief.Fleet.Models["m"].LoadTime = 2 * time.Second
--- a/placement/rest_test.go
+++ b/placement/rest_test.go
@@ -89,7 +89,7 @@
 	for i, m := range models {
 		name := fmt.Sprint("m", i)
 		f.sizes[name] = m.size
-		f.demand[name] = placement.Demand{Requests: float64(m.places), Places: float64(m.places)}
+		f.demand[name] = placement.Demand{Requests: float64(m.places), BusySlots: float64(m.places)}
 		if used[m.server]+m.size <= serverGiB {
 			used[m.server] += m.size
 			standin.Ready(f.st, f.servers[m.server], 0, &wire.Item{Model: name, Version: "1"}, uint64(m.size)<<30)
@@ -118,7 +118,7 @@
 
 // round decides once and carries it out; it reports whether there was nothing to do.
 func (f *fullFleet) round() (atRest bool, plan placement.Plan) {
-	plan = placement.Decide(placement.Input{State: f.st, Demand: f.demand, Down: f.down, Since: time.Hour})
+	plan = placement.Decide(placement.Input{State: f.st, Demand: f.demand, Down: f.down, LeaderFor: time.Hour})
 	for _, d := range plan.Decisions {
 		if strings.HasPrefix(d.Reason, "stands in the way") {
 			f.shifted++
--- a/placement/resting_test.go
+++ b/placement/resting_test.go
@@ -45,12 +45,12 @@
 		}
 		f.closeDue(open, now)
 		f.demand = f.estimated(r, f.demand, truth)
-		in := Input{State: f.State, Demand: f.demand, Since: time.Hour, Held: map[string]bool{}}
+		in := Input{State: f.State, Demand: f.demand, LeaderFor: time.Hour, NoOrders: map[string]bool{}}
 		for s := range resting {
-			in.Held[s] = true
+			in.NoOrders[s] = true
 		}
 		if len(resting) > 0 && now-began >= known {
-			in.Resting = resting
+			in.InBackoff = resting
 		}
 		loads += f.issue(Decide(in), open, now)
 		estimates := f.demand
--- a/placement/short_test.go
+++ b/placement/short_test.go
@@ -61,13 +61,13 @@
 // ask has models asked for at a rate in requests a second.
 func (f *shortFleet) ask(rate float64, models ...string) {
 	for _, m := range models {
-		f.demand[m] = placement.Demand{Requests: rate, Steady: rate, Places: rate / 2}
+		f.demand[m] = placement.Demand{Requests: rate, LongTermRequests: rate, BusySlots: rate / 2}
 	}
 }
 
 // round decides once; all that it orders is done before the next.
 func (f *shortFleet) round() {
-	plan := placement.Decide(placement.Input{State: f.st, Demand: f.demand, Since: time.Hour})
+	plan := placement.Decide(placement.Input{State: f.st, Demand: f.demand, LeaderFor: time.Hour})
 	for _, d := range plan.Decisions {
 		r := standin.Agree(f.st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
 		if r.Err != nil {
