--- a/box/box.go
+++ b/box/box.go
@@ -332,7 +332,7 @@
 	p.control = control.New(control.Options{
 		Replica: r, Spread: p.spread, Engines: engines.At,
 		TerminatedServers: p.directory.Gone, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
-		Counting: platform.NewEngines(allowed, p.pushback), InLongBackoff: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettleTime: s.DemandSettles, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
+		Counting: platform.NewEngines(allowed, p.pushback), InBackoff: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettleTime: s.DemandSettles, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
 		Records: b.records, Meters: b.meters, Log: b.log,
 	})
 	p.guard = keyed.New(state.ProcessID(self), r, b.pool, b.meters)
--- a/control/control.go
+++ b/control/control.go
@@ -82,8 +82,8 @@
 	Engines func(name, address string) engine.Server
 	// Counting speaks to servers that count orders; nil when there are none.
 	Counting engine.Counting
-	// InLongBackoff reports whether a server asked this box for a rest that lasts; nil: none does.
-	InLongBackoff func(server string) bool
+	// InBackoff reports whether a server asked this box for a rest that lasts; nil: none does.
+	InBackoff func(server string) bool
 	// Holder names this box in orders.
 	Holder string
 	// OrderPause is the least time between the orders of two leaders to a server (5).
--- a/control/pause.go
+++ b/control/pause.go
@@ -76,7 +76,7 @@
 }
 
 func (c *Controller) rests(server string) bool {
-	return c.opts.InLongBackoff != nil && c.opts.InLongBackoff(server)
+	return c.opts.InBackoff != nil && c.opts.InBackoff(server)
 }
 
 // inherited reports whether an order was given by an earlier leader.
--- a/control/rests_test.go
+++ b/control/rests_test.go
@@ -13,7 +13,7 @@
 
 func TestServersThatRestGetNoOrders(t *testing.T) {
 	g := NewWithT(t)
-	c := New(Options{InLongBackoff: func(server string) bool { return server == "rests" }})
+	c := New(Options{InBackoff: func(server string) bool { return server == "rests" }})
 	c.ledSince = time.Now().Add(-time.Hour)
 	held := c.held(agreedServers(map[string]uint64{"rests": 1, "works": 1}), time.Now())
 	g.Expect(held).To(Equal(map[string]bool{"rests": true}))
