--- a/control/beliefs_test.go
+++ b/control/beliefs_test.go
@@ -51,8 +51,8 @@
 	now := time.Now()
 	c.ledSince = now.Add(-time.Hour)
 	st := state.New()
-	st.Announced.Set("i~2", &wire.Announcement{Id: "i~2", Heir: true})
-	st.Announced.Set("j~2", &wire.Announcement{Id: "j~2"})
+	st.Announcements.Set("i~2", &wire.Announcement{Id: "i~2", Heir: true})
+	st.Announcements.Set("j~2", &wire.Announcement{Id: "j~2"})
 	g.Expect(c.held(st, now)["i~2"]).To(BeTrue())
 	g.Expect(c.held(st, now)["j~2"]).To(BeFalse())
 	g.Expect(c.held(st, now.Add(12*time.Second))["i~2"]).To(BeTrue())
@@ -102,18 +102,18 @@
 	c := New(Options{})
 	start := time.Now()
 	in := func(after time.Duration) *placement.Input {
-		in := &placement.Input{State: st, Since: after, Settles: time.Second, Demand: map[string]placement.Demand{"asked": {Requests: 1}}}
+		in := &placement.Input{State: st, LeaderFor: after, DemandSettleTime: time.Second, Demand: map[string]placement.Demand{"asked": {Requests: 1}}}
 		c.weighModels(in, start.Add(after))
 		return in
 	}
 	first := in(0)
-	g.Expect(first.Patient).To(Equal(map[string]bool{"asked": true, "unasked": true}), "demand is not known yet")
+	g.Expect(first.Deferred).To(Equal(map[string]bool{"asked": true, "unasked": true}), "demand is not known yet")
 	second := in(2 * time.Second)
-	g.Expect(second.Patient["asked"]).To(BeFalse())
-	g.Expect(second.Patient["unasked"]).To(BeTrue(), "its server may come back")
+	g.Expect(second.Deferred["asked"]).To(BeFalse())
+	g.Expect(second.Deferred["unasked"]).To(BeTrue(), "its server may come back")
 	g.Expect(second.Idle["there"]).To(BeFalse())
 	late := in(idleAfter + time.Second)
-	g.Expect(late.Patient["unasked"]).To(BeFalse())
+	g.Expect(late.Deferred["unasked"]).To(BeFalse())
 	g.Expect(late.Idle).To(And(HaveKeyWithValue("there", true), HaveKeyWithValue("asked", false)))
 }
 
@@ -122,7 +122,7 @@
 	g := NewWithT(t)
 	c := newLeader(t)
 	st := state.New()
-	st.Announced.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
+	st.Announcements.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
 	c.looked = true // it leads since the life before
 	to := &wire.Order{Server: "i"}
 
@@ -144,7 +144,7 @@
 	c := New(Options{OrderPause: 3 * time.Second})
 	now := time.Now()
 	st := state.New()
-	st.Announced.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
+	st.Announcements.Set("i~2", &wire.Announcement{Id: "i~2", Name: "i", Heir: true})
 	c.watchOrders(st, now)
 	c.ledSince = now.Add(10 * time.Second)
 	g.Expect(c.held(st, now.Add(lateFor-time.Second))["i~2"]).To(BeTrue())
--- a/control/control.go
+++ b/control/control.go
@@ -82,28 +82,28 @@
 	Engines func(name, address string) engine.Server
 	// Counting speaks to servers that count orders; nil when there are none.
 	Counting engine.Counting
-	// Rests reports whether a server asked this box for a rest that lasts; nil: none does.
-	Rests func(server string) bool
+	// InBackoff reports whether a server asked this box for a rest that lasts; nil: none does.
+	InBackoff func(server string) bool
 	// Holder names this box in orders.
 	Holder string
 	// OrderPause is the least time between the orders of two leaders to a server (5).
 	OrderPause time.Duration
-	// DemandSettles is how long a new leader waits for demand to be reported.
-	DemandSettles time.Duration
-	// DisksOnly keeps boxes without a disk from voting.
-	DisksOnly bool
+	// DemandSettleTime is how long a new leader waits for demand to be reported.
+	DemandSettleTime time.Duration
+	// VotersNeedDisks keeps boxes without a disk from voting.
+	VotersNeedDisks bool
 	// NeverLeads: this box does not vote, so that there is nothing that it would have to know when it leads.
-	NeverLeads bool
-	Gone       func() map[string]bool
-	// Meet opens a session to a box; nil where boxes find the cluster by themselves.
-	Meet        func(ctx context.Context, box string)
-	Wanted      int // voters
-	RepairAfter time.Duration
-	// UpgradeSettles is how long all boxes know a level before it is raised to.
-	UpgradeSettles time.Duration
-	Records        *record.Book
-	Meters         *meter.Meters
-	Log            *zap.Logger
+	NeverLeads        bool
+	TerminatedServers func() map[string]bool
+	// OpenSession opens a session to a box; nil where boxes find the cluster by themselves.
+	OpenSession  func(ctx context.Context, box string)
+	WantedVoters int // voters
+	RepairAfter  time.Duration
+	// UpgradeSettleTime is how long all boxes know a level before it is raised to.
+	UpgradeSettleTime time.Duration
+	Records           *record.Book
+	Meters            *meter.Meters
+	Log               *zap.Logger
 }
 
 // Controller acts while its box leads.
--- a/control/crashes.go
+++ b/control/crashes.go
@@ -22,9 +22,9 @@
 	since time.Time
 }
 
-// TakeCrashes has what a box tells of requests under which servers ended agreed. The error is ErrNotLeader where
+// RecordCrashes has what a box tells of requests under which servers ended agreed. The error is ErrNotLeader where
 // the box does not lead.
-func (c *Controller) TakeCrashes(ctx context.Context, r *wire.CrashReport) error {
+func (c *Controller) RecordCrashes(ctx context.Context, r *wire.CrashReport) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	for _, s := range result.Held {
+	for _, s := range result.Blocked {
 		logSuspect(event.CrasherHeld, c.opts.Log, s)
 	}
 	return nil
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -36,7 +36,7 @@
 	fences      bool
 	incarnation int
 	down        bool
-	residents   map[ledger.Place]uint64
+	residents   map[ledger.Location]uint64
 	fence       uint64
 	outcomes    map[uint64]engine.Outcome
 }
@@ -45,7 +45,7 @@
 
 func (f *fake) restart() {
 	f.incarnation++
-	f.residents, f.outcomes, f.fence = map[ledger.Place]uint64{}, map[uint64]engine.Outcome{}, 0
+	f.residents, f.outcomes, f.fence = map[ledger.Location]uint64{}, map[uint64]engine.Outcome{}, 0
 }
 
 func (f *fake) report() *engine.State {
@@ -67,7 +67,7 @@
 		}
 		f.fence = o.Id
 	}
-	place := ledger.PlaceOf(o)
+	place := ledger.OrderLocation(o)
 	out := engine.Outcome{Done: true}
 	if o.Action == wire.OrderAction_ORDER_LOAD {
 		f.residents[place] = o.Memory
@@ -207,9 +207,9 @@
 func (w *world) decide() {
 	demand := map[string]placement.Demand{}
 	for i := range 5 {
-		demand[fmt.Sprint("m", i)] = placement.Demand{Requests: 10, Places: float64(rapid.IntRange(0, 12).Draw(w.t, "places"))}
+		demand[fmt.Sprint("m", i)] = placement.Demand{Requests: 10, BusySlots: float64(rapid.IntRange(0, 12).Draw(w.t, "places"))}
 	}
-	plan := placement.Decide(placement.Input{State: w.st, Demand: demand, Down: w.down(), Since: time.Hour})
+	plan := placement.Decide(placement.Input{State: w.st, Demand: demand, Down: w.down(), LeaderFor: time.Hour})
 	for _, d := range plan.Decisions {
 		w.issue(d.Order)
 	}
@@ -256,7 +256,7 @@
 func (w *world) drive() {
 	for id, o := range w.st.Clone().Orders.All() {
 		f := w.servers[o.Server]
-		if out, answered := w.answers[id]; answered && (f.fences || control.ClosesAtOnce(o, out)) {
+		if out, answered := w.answers[id]; answered && (f.fences || control.ClosesImmediately(o, out)) {
 			w.close(id, out)
 			continue
 		}
@@ -282,7 +282,7 @@
 		latest = w.sent[o.Id] + orderLate
 	}
 	if r, ok := w.reports[o.Server]; ok && r.began > latest {
-		if out, settled := control.Settle(o, r.state); settled {
+		if out, settled := control.OutcomeFromState(o, r.state); settled {
 			w.close(o.Id, out)
 		}
 	}
@@ -414,7 +414,7 @@
 			w.arrive(0, false, true)
 		}
 		w.drive()
-		plan := placement.Decide(placement.Input{State: w.st, Since: time.Hour})
+		plan := placement.Decide(placement.Input{State: w.st, LeaderFor: time.Hour})
 		for _, d := range plan.Decisions {
 			if r := w.agree(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}}); r.Err == nil {
 				r.Order.Term = w.term
@@ -436,14 +436,14 @@
 		}
 	}
 	for name, m := range w.st.Fleet.Models {
-		w.wantHeld(ledger.Place{Model: name, Version: m.Version})
+		w.wantHeld(ledger.Location{Model: name, Version: m.Version})
 	}
 	for name, a := range w.st.Fleet.Adapters {
-		w.wantHeld(ledger.Place{Model: a.Model, Adapter: name, Version: a.Version})
+		w.wantHeld(ledger.Location{Model: a.Model, Adapter: name, Version: a.Version})
 	}
 }
 
-func (w *world) wantHeld(want ledger.Place) {
+func (w *world) wantHeld(want ledger.Location) {
 	for _, f := range w.servers {
 		for p := range f.residents {
 			p.Server, p.Accelerator = "", 0
@@ -487,17 +487,17 @@
 		{wire.OrderAction_ORDER_UNLOAD, true, false},
 		{wire.OrderAction_ORDER_UNLOAD, false, false},
 	} {
-		NewWithT(t).Expect(control.ClosesAtOnce(&wire.Order{Action: c.action}, engine.Outcome{Done: c.done})).To(Equal(c.want), "%+v", c)
+		NewWithT(t).Expect(control.ClosesImmediately(&wire.Order{Action: c.action}, engine.Outcome{Done: c.done})).To(Equal(c.want), "%+v", c)
 	}
 }
 
 func TestNothingIsSettledWhileLoading(t *testing.T) {
 	g := NewWithT(t)
 	o := &wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "s", Item: &wire.Item{Model: "m", Version: "1"}}
-	_, settled := control.Settle(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1", Loading: true}}})
+	_, settled := control.OutcomeFromState(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1", Loading: true}}})
 	g.Expect(settled).To(BeFalse())
-	out, settled := control.Settle(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1"}}})
+	out, settled := control.OutcomeFromState(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1"}}})
 	g.Expect(settled && out.Done).To(BeTrue())
-	out, settled = control.Settle(o, &engine.State{})
+	out, settled = control.OutcomeFromState(o, &engine.State{})
 	g.Expect(settled && !out.Done).To(BeTrue())
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -73,15 +73,15 @@
 type Demand struct {
 	// Requests is in requests a second, those refused included.
 	Requests float64
-	// Places is how many requests of it are in service on average, if none is
+	// BusySlots is how many requests of it are in service on average, if none is
 	// refused.
-	Places float64
-	// Steady is the rate of requests over a longer time, for models that are asked for
+	BusySlots float64
+	// LongTermRequests is the rate of requests over a longer time, for models that are asked for
 	// now and then; 0 where that is not known.
-	Steady float64
-	// Reading is how many servers it keeps busy by the reading of its prompts; 0 where
+	LongTermRequests float64
+	// PrefillLoad is how many servers it keeps busy by the reading of its prompts; 0 where
 	// that is not known.
-	Reading float64
+	PrefillLoad float64
 }
 
 // Input is what a decision is made from.
@@ -92,22 +92,22 @@
 	// Down names servers that do not answer; they get no orders and their
 	// copies do not count.
 	Down map[string]bool
-	// Held names servers that get no orders now, though their copies count.
-	Held map[string]bool
-	// Resting names servers that want no requests for so long that other copies of their models are worth a move.
-	Resting map[string]bool
-	// Since is how long the box has led. A new leader first lets demand be
+	// NoOrders names servers that get no orders now, though their copies count.
+	NoOrders map[string]bool
+	// InBackoff names servers that want no requests for so long that other copies of their models are worth a move.
+	InBackoff map[string]bool
+	// LeaderFor is how long the box has led. A new leader first lets demand be
 	// reported to it before it moves anything for demand's sake.
-	Since time.Duration
-	// Patient names models that no room is made for yet (13).
-	Patient map[string]bool
+	LeaderFor time.Duration
+	// Deferred names models that no room is made for yet (13).
+	Deferred map[string]bool
 	// Idle names models that nobody has asked for lately (14).
 	Idle map[string]bool
-	// Wanted are models and on-demand adapters that requests wait for.
-	Wanted map[string]bool
-	// Settles is how long a new leader waits for demand to be reported; 0:
+	// Awaited are models and on-demand adapters that requests wait for.
+	Awaited map[string]bool
+	// DemandSettleTime is how long a new leader waits for demand to be reported; 0:
 	// DemandSettles.
-	Settles time.Duration
+	DemandSettleTime time.Duration
 
 	// afresh has everything found anew each time, for a test of what is kept.
 	afresh bool
@@ -121,8 +121,8 @@
 
 // Shortage says that a model has no room.
 type Shortage struct {
-	Model string
-	Why   string
+	Model  string
+	Reason string
 }
 
 // Plan is what is to be done next.
@@ -170,7 +170,7 @@
 	fleet  *fleet.Fleet
 	models []*fleet.Model // sorted
 	// places and residents are what is resident, in the order of places.
-	places    []ledger.Place
+	places    []ledger.Location
 	residents []*wire.Resident
 	accs      []*accelerator
 	index     map[string][]*accelerator
@@ -217,7 +217,7 @@
 		for n := range s.Kind.Accelerators {
 			a := &accelerator{server: s, load: l, number: uint32(n), free: int64(s.Kind.Usable()), models: map[string]bool{}, unusable: unusable}
 			a.hand = seen.GetAtHand()
-			a.busy = unusable || in.Held[s.Name] || seen.GetQuarantined()
+			a.busy = unusable || in.NoOrders[s.Name] || seen.GetQuarantined()
 			p.index[s.Name] = append(p.index[s.Name], a)
 			p.accs = append(p.accs, a)
 		}
@@ -296,7 +296,7 @@
 	}
 }
 
-func (p *planner) reserveAdapters(acc *accelerator, place ledger.Place) {
+func (p *planner) reserveAdapters(acc *accelerator, place ledger.Location) {
 	m := p.fleet.Models[place.Model]
 	if m == nil || m.Version != place.Version {
 		return
@@ -308,8 +308,8 @@
 	}
 }
 
-func adapterPlace(acc *accelerator, a *fleet.Adapter) ledger.Place {
-	return ledger.Place{Server: acc.server.Name, Accelerator: acc.number, Model: a.Model, Adapter: a.Name, Version: a.Version}
+func adapterPlace(acc *accelerator, a *fleet.Adapter) ledger.Location {
+	return ledger.Location{Server: acc.server.Name, Accelerator: acc.number, Model: a.Model, Adapter: a.Name, Version: a.Version}
 }
 
 func (p *planner) order(acc *accelerator, action wire.OrderAction, item *wire.Item, memory uint64, why string) {
@@ -339,7 +339,7 @@
 	}
 }
 
-func (p *planner) unloadUnwanted(place ledger.Place, r *wire.Resident) {
+func (p *planner) unloadUnwanted(place ledger.Location, r *wire.Resident) {
 	acc := p.acc(place)
 	if r.Phase != wire.Phase_PHASE_READY || acc == nil || acc.busy {
 		return
@@ -349,7 +349,7 @@
 	}
 }
 
-func (p *planner) acc(place ledger.Place) *accelerator {
+func (p *planner) acc(place ledger.Location) *accelerator {
 	list := p.index[place.Server]
 	if int(place.Accelerator) >= len(list) {
 		return nil
@@ -358,14 +358,14 @@
 }
 
 // hasBase reports whether a copy of an adapter's model stays on its accelerator.
-func (p *planner) hasBase(place ledger.Place) bool {
+func (p *planner) hasBase(place ledger.Location) bool {
 	acc := p.acc(place)
 	return slices.ContainsFunc(p.copies[place.Model], func(c copyOf) bool {
 		return c.acc == acc && c.resident.Phase != wire.Phase_PHASE_UNLOADING
 	})
 }
 
-func (p *planner) unwanted(place ledger.Place) string {
+func (p *planner) unwanted(place ledger.Location) string {
 	if place.Adapter != "" {
 		a := p.fleet.Adapters[place.Adapter]
 		if a != nil && a.OnDemand {
@@ -385,7 +385,7 @@
 	switch {
 	case m == nil:
 		return "not in the fleet file any more"
-	case m.Version != place.Version && p.in.State.ReadyElsewhere(place) && p.in.State.Stranded(place) == "":
+	case m.Version != place.Version && p.in.State.ReadyElsewhere(place) && p.in.State.OrphanedAdapter(place) == "":
 		return "version " + m.Version + " is ready"
 	}
 	return ""
--- a/placement/rest_test.go
+++ b/placement/rest_test.go
@@ -89,7 +89,7 @@
 	for i, m := range models {
 		name := fmt.Sprint("m", i)
 		f.sizes[name] = m.size
-		f.demand[name] = placement.Demand{Requests: float64(m.places), Places: float64(m.places)}
+		f.demand[name] = placement.Demand{Requests: float64(m.places), BusySlots: float64(m.places)}
 		if used[m.server]+m.size <= serverGiB {
 			used[m.server] += m.size
 			standin.Ready(f.st, f.servers[m.server], 0, &wire.Item{Model: name, Version: "1"}, uint64(m.size)<<30)
@@ -118,7 +118,7 @@
 
 // round decides once and carries it out; it reports whether there was nothing to do.
 func (f *fullFleet) round() (atRest bool, plan placement.Plan) {
-	plan = placement.Decide(placement.Input{State: f.st, Demand: f.demand, Down: f.down, Since: time.Hour})
+	plan = placement.Decide(placement.Input{State: f.st, Demand: f.demand, Down: f.down, LeaderFor: time.Hour})
 	for _, d := range plan.Decisions {
 		if strings.HasPrefix(d.Reason, "stands in the way") {
 			f.shifted++
@@ -145,8 +145,8 @@
 // room returns the bytes of a server that last copies leave: what another model's
 // second copy takes counts as room.
 func (f *fullFleet) room(server string) uint64 {
-	book := &ledger.Book{Fleet: f.st.Fleet, Servers: f.st.Servers, Residents: f.st.Residents, Orders: f.st.Orders}
-	room := serverGiB<<30 - book.Used(server, 0)
+	book := &ledger.Inventory{Fleet: f.st.Fleet, Servers: f.st.Servers, Residents: f.st.Residents, Orders: f.st.Orders}
+	room := serverGiB<<30 - book.UsedBytes(server, 0)
 	for m, size := range f.sizes {
 		if on := f.serving(m); len(on) > 1 && slices.Contains(on, server) {
 			room += uint64(size) << 30
