--- a/state/announce.go
+++ b/state/announce.go
@@ -12,36 +12,37 @@
 
 // Rules for backend servers that announce themselves:
 //
-//  1. Each start of a server is an id of its own. What is known of an id is
-//     dropped only when nothing of it can arrive any more (Withdraw.Forget).
-//  2. Leaving stays: a later word that the id is well changes nothing.
-//  3. Another id at the address of a known one makes that silent until it is heard
-//     again: most likely it was restarted, but words come late.
-//  4. Residents are taken over from the first announcement. Later words may be older
-//     than the last order: they replace what is agreed only where the leader says so,
-//     and while no order is open, since an open order's memory must stay counted.
-//  5. A server that starts again under its name begins another life, with another id and a later birth. All that is
-//     kept by the id of the life before ends with it, open orders included: what runs now holds nothing of
-//     it. Late words of that life change nothing. Two things stay: the entry that was about its orders last, since no two
-//     leaders may give one server orders within a pause; and that an order was open, which may yet arrive.
+//  1. Each start of a server has its own id. The record of an id is removed only when no message about it can arrive
+//     any more (Withdraw.Forget).
+//  2. Draining is permanent: a later announcement that the id is well does not change it.
+//  3. A new id at the address of a known one marks the known one as unresponsive until it announces itself again. Most
+//     likely the server was restarted, but messages may arrive late.
+//  4. Residents are recorded from the first announcement. Later announcements may be older than the last order: they
+//     replace the replicated residents only if the leader says so, and only while no order is open, since the memory of
+//     an open order must stay counted.
+//  5. A server that restarts under its name begins a new incarnation, with a new id and a later start time. Everything
+//     recorded under the id of the previous incarnation is removed, open orders included: the running process holds none
+//     of it. Late messages of the previous incarnation are ignored. Two facts are kept: the index of the last entry about
+//     its orders, since no two leaders may give one server orders within a pause, and whether an order was open, since
+//     that order may still arrive.
 
-// announce takes over what a server said of itself.
+// announce records a server's announcement.
 func (s *State) announce(a *wire.Announcement) {
 	old := s.Announcements.Get(a.Id)
 	if s.HasNewerIncarnation(a) {
 		return
 	}
-	ordered, heir := s.endLivesBefore(a)
-	next := s.shareTexts(proto.CloneOf(a))
+	ordered, inherited := s.endPreviousIncarnations(a)
+	next := s.internAnnouncement(proto.CloneOf(a))
 	next.Sequence, next.RemainingMs, next.Residents, next.TakeResidents = 0, 0, nil, false
 	next.Leaving = a.Leaving || old.GetLeaving() // (2)
-	next.Heir = heir || old.GetHeir()
+	next.Heir = inherited || old.GetHeir()
 	next.Cold = a.Cold && s.Level >= level.Evacuations
 	s.Announcements.Set(a.Id, next)
 	if old == nil {
-		s.silenceOthers(next) // (3)
+		s.markOthersSilent(next) // (3)
 	}
-	s.joinFleet(next)
+	s.updatePool(next)
 	if !a.Engine {
 		return
 	}
@@ -51,7 +52,7 @@
 	}
 }
 
-// HasNewerIncarnation reports whether a later life of a server's name is known.
+// HasNewerIncarnation reports whether a later incarnation of the server's name is known.
 func (s *State) HasNewerIncarnation(a *wire.Announcement) bool {
 	if a.BornMs == 0 {
 		return false
@@ -59,8 +60,9 @@
 	return slices.ContainsFunc(s.Announcements.Incarnations(a.Name), func(id string) bool { return id != a.Id && s.Announcements.Get(id).BornMs > a.BornMs })
 }
 
-// endLivesBefore is rule 5. It returns the entry that was about an order to the life before last, and whether one was open.
-func (s *State) endLivesBefore(a *wire.Announcement) (ordered uint64, heir bool) {
+// endPreviousIncarnations implements rule 5. It returns the index of the last entry about an order to a previous
+// incarnation, and whether such an order was open.
+func (s *State) endPreviousIncarnations(a *wire.Announcement) (ordered uint64, inherited bool) {
 	if a.BornMs == 0 {
 		return 0, false
 	}
@@ -69,19 +71,19 @@
 			continue
 		}
 		ordered = max(ordered, s.Servers.Get(id).GetOrdered())
-		heir = heir || s.Announcements.Get(id).Heir || s.Orders.HasOpen(id)
-		s.forgetAnnounced(id)
+		inherited = inherited || s.Announcements.Get(id).Heir || s.Orders.HasOpen(id)
+		s.removeAnnounced(id)
 	}
-	return ordered, heir
+	return ordered, inherited
 }
 
-func (s *State) forgetAnnounced(id string) {
+func (s *State) removeAnnounced(id string) {
 	s.Announcements.Delete(id)
 	s.PoolServers.Delete(id)
-	s.forgetServer(id)
+	s.removeServer(id)
 }
 
-func (s *State) silenceOthers(a *wire.Announcement) {
+func (s *State) markOthersSilent(a *wire.Announcement) {
 	for _, id := range s.Announcements.ByAddress(a.Address) {
 		other := s.Announcements.Get(id)
 		if id == a.Id || other.Silent {
@@ -96,12 +98,12 @@
 func (s *State) replaceResidents(server string, items []*wire.Item) {
 	s.Residents.Clear(server, nil)
 	for _, item := range items {
-		item = s.shareItem(item)
+		item = s.internItem(item)
 		s.Residents.Put(&wire.Resident{Server: server, Item: item, Phase: wire.Phase_PHASE_READY, Memory: s.memoryOf(item)})
 	}
 }
 
-// memoryOf returns the size of an item, 0 when the fleet does not name it.
+// memoryOf returns the size of an item, or 0 if the fleet file does not name it.
 func (s *State) memoryOf(item *wire.Item) uint64 {
 	if s.Fleet == nil {
 		return 0
@@ -118,14 +120,14 @@
 	return 0
 }
 
-// withdraw is rule 1.
+// withdraw implements rules 1 and 2 for servers that deregister.
 func (s *State) withdraw(w *wire.Withdraw) {
 	old := s.Announcements.Get(w.Id)
 	if old == nil {
 		return
 	}
 	if w.Forget {
-		s.forgetAnnounced(w.Id)
+		s.removeAnnounced(w.Id)
 		return
 	}
 	next := proto.CloneOf(old)
@@ -136,8 +138,9 @@
 	}
 }
 
-// joinFleet lists an announced server among the model servers, where the fleet file has a pool of them for it.
-func (s *State) joinFleet(a *wire.Announcement) {
+// updatePool adds an announced server to the model servers if the fleet file has a model pool for its service, and
+// removes it otherwise.
+func (s *State) updatePool(a *wire.Announcement) {
 	if s.Fleet == nil {
 		return
 	}
@@ -152,11 +155,12 @@
 	s.PoolServers.Set(a.Id, &fleet.Server{Name: a.Id, Address: a.Address, Hall: a.Hall, Kind: pool.Kind, Pool: pool.Name})
 }
 
-// enterFleet takes over another fleet file: who belongs to its pools, and what was announced before its size was known.
-func (s *State) enterFleet(f *fleet.Fleet) {
+// setFleet replaces the fleet file. It updates the pool servers, and sizes the residents that were announced before their
+// size was known.
+func (s *State) setFleet(f *fleet.Fleet) {
 	s.Fleet = f
 	for _, a := range s.Announcements.All() {
-		s.joinFleet(a)
+		s.updatePool(a)
 	}
 	var sized []*wire.Resident
 	for p, r := range s.Residents.All() {
--- a/state/announce_test.go
+++ b/state/announce_test.go
@@ -13,7 +13,7 @@
 	"leverdrum/wire"
 )
 
-// poolFormat is a codec that gives a fleet of one pool with a model.
+// poolFormat is a codec whose fleet has one pool with a model and three adapters.
 const poolFormat = "test-pool"
 
 func init() {
@@ -30,18 +30,18 @@
 	fleet.Register(poolFormat, fleet.Codec{Decode: decode})
 }
 
-type log struct {
+type testLog struct {
 	t  *testing.T
 	st *state.State
 }
 
-func newLog(t *testing.T) *log {
-	l := &log{t, state.New()}
+func newTestLog(t *testing.T) *testLog {
+	l := &testLog{t, state.New()}
 	l.apply(&wire.Command{Kind: &wire.Command_Apply{Apply: &wire.ApplyFleet{Number: 1, Format: poolFormat, Text: "x", Digest: fleet.Digest([]byte("x"))}}})
 	return l
 }
 
-func (l *log) apply(c *wire.Command) state.Result {
+func (l *testLog) apply(c *wire.Command) state.Result {
 	data, err := proto.Marshal(c)
 	if err != nil {
 		l.t.Fatal(err)
@@ -49,16 +49,16 @@
 	return l.st.Apply(&wire.Entry{Index: l.st.Index + 1, Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 }
 
-func (l *log) announce(a *wire.Announcement) {
+func (l *testLog) announce(a *wire.Announcement) {
 	l.apply(&wire.Command{Kind: &wire.Command_Announce{Announce: a}})
 }
 
-func (l *log) order(o *wire.Order) state.Result {
+func (l *testLog) order(o *wire.Order) state.Result {
 	o.ServerIncarnation = o.Server
 	return l.apply(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: o}}})
 }
 
-func (l *log) closeDone(id uint64) {
+func (l *testLog) closeDone(id uint64) {
 	l.apply(&wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 }
 
@@ -72,9 +72,9 @@
 	return &wire.Announcement{Id: id, Service: "p", Address: "10.0.0.1:1", Hall: "h", Slots: 4, Engine: true, Residents: items}
 }
 
-func TestAnnouncedServersJoinTheFleet(t *testing.T) {
+func TestAnnouncedServerJoinsPool(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1", model()))
 	g.Expect(l.st.Server("i1")).NotTo(BeNil())
 	g.Expect(l.st.Server("i1").Kind.CountsOrders).To(BeTrue())
@@ -82,7 +82,7 @@
 
 	again, err := state.Decode(l.st.Encode())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(again.Server("i1")).NotTo(BeNil(), "a snapshot holds them")
+	g.Expect(again.Server("i1")).NotTo(BeNil(), "snapshots include announced servers")
 	g.Expect(proto.Equal(again.Encode(), l.st.Encode())).To(BeTrue())
 
 	l.apply(&wire.Command{Kind: &wire.Command_Withdraw{Withdraw: &wire.Withdraw{Id: "i1", Forget: true}}})
@@ -90,22 +90,22 @@
 	g.Expect(l.st.Residents.Len()).To(BeZero())
 }
 
-func TestServersAnnouncedBeforeTheirServiceIsKnown(t *testing.T) {
+func TestServerAnnouncedBeforeItsPool(t *testing.T) {
 	g := NewWithT(t)
-	l := &log{t, state.New()}
+	l := &testLog{t, state.New()}
 	l.announce(server("i1", model()))
 	l.apply(&wire.Command{Kind: &wire.Command_Apply{Apply: &wire.ApplyFleet{Number: 1, Format: poolFormat, Text: "x", Digest: fleet.Digest([]byte("x"))}}})
 	g.Expect(l.st.Server("i1")).NotTo(BeNil())
-	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60), "its size is counted once it is known")
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60), "the size is counted once the model is known")
 }
 
-func TestLeavingStays(t *testing.T) {
+func TestDrainingIsPermanent(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
-	leaving := server("i1", model())
-	leaving.Leaving = true
+	l := newTestLog(t)
+	draining := server("i1", model())
+	draining.Leaving = true
 	l.announce(server("i1", model()))
-	l.announce(leaving)
+	l.announce(draining)
 	l.announce(server("i1", model()))
 	g.Expect(l.st.Announcements.Get("i1").Leaving).To(BeTrue())
 	g.Expect(l.st.Servers.Get("i1").Leaving).To(BeTrue())
@@ -114,41 +114,41 @@
 	l.announce(server("i2"))
 	l.apply(&wire.Command{Kind: &wire.Command_Withdraw{Withdraw: &wire.Withdraw{Id: "i2"}}})
 	l.announce(server("i2"))
-	g.Expect(l.st.Announcements.Get("i2").Leaving).To(BeTrue(), "gone stays gone")
+	g.Expect(l.st.Announcements.Get("i2").Leaving).To(BeTrue(), "a withdrawn server stays draining")
 }
 
-func TestANewIDSilencesTheOldOneAtItsAddress(t *testing.T) {
+func TestNewIDMarksOldIDAtItsAddressSilent(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1", model()))
 	l.announce(server("i2"))
 	g.Expect(l.st.Announcements.Get("i1").Silent).To(BeTrue())
 	g.Expect(l.st.Announcements.Get("i2").Silent).To(BeFalse())
 	l.announce(server("i1", model()))
-	g.Expect(l.st.Announcements.Get("i1").Silent).To(BeFalse(), "it is heard again: words come late")
+	g.Expect(l.st.Announcements.Get("i1").Silent).To(BeFalse(), "a later announcement clears the mark, since messages may arrive late")
 	g.Expect(l.st.Announcements.Get("i2").Silent).To(BeFalse())
 }
 
-func TestResidentsStandWhileAnOrderIsOpen(t *testing.T) {
+func TestOpenOrderKeepsResidents(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1"))
 	r := l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: model(), Memory: 60})
 	g.Expect(r.Err).NotTo(HaveOccurred())
-	believed := server("i1")
-	believed.TakeResidents = true
-	l.announce(believed)
-	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60), "what is ordered stays counted")
+	reported := server("i1")
+	reported.TakeResidents = true
+	l.announce(reported)
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeEquivalentTo(60), "the memory of an open order stays counted")
 	l.closeDone(r.Order.Id)
-	l.announce(believed)
-	g.Expect(l.st.UsedBytes("i1", 0)).To(BeZero(), "and is taken from the server's word afterwards")
+	l.announce(reported)
+	g.Expect(l.st.UsedBytes("i1", 0)).To(BeZero(), "residents follow the announcement once no order is open")
 }
 
-// A word that came for another reason, and was older than the last order, replaced
-// what was agreed: the next adapter overfilled the server.
-func TestAWordForAnotherReasonLeavesResidentsAsTheyAre(t *testing.T) {
+// Guards against an announcement that was sent for another reason, and is older than the last order, replacing the
+// replicated residents: the next adapter then overfilled the server.
+func TestAnnouncementWithoutTakeResidentsKeepsResidents(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1", model(), adapter("a1")))
 	r := l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: adapter("a2"), Memory: 1})
 	g.Expect(r.Err).NotTo(HaveOccurred())
@@ -163,7 +163,7 @@
 
 func TestAdapterSlots(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1", model()))
 	for _, name := range []string{"a1", "a2"} {
 		r := l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: adapter(name), Memory: 1})
@@ -173,7 +173,7 @@
 	r := l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: adapter("a3"), Memory: 1})
 	g.Expect(r.Err).To(MatchError(ContainSubstring("2 of 2 adapter slots")))
 	r = l.order(&wire.Order{Action: wire.OrderAction_ORDER_UNLOAD, Server: "i1", Item: adapter("a1")})
-	g.Expect(r.Err).NotTo(HaveOccurred(), "the last copy of an on-demand adapter may go")
+	g.Expect(r.Err).NotTo(HaveOccurred(), "the last copy of an on-demand adapter may be unloaded")
 	l.closeDone(r.Order.Id)
 
 	l.announce(&wire.Announcement{Id: "i2", Service: "p", Address: "10.0.0.2:1", Engine: true, Residents: []*wire.Item{model()}})
@@ -181,13 +181,13 @@
 	g.Expect(r.Err).NotTo(HaveOccurred())
 	l.closeDone(r.Order.Id)
 	for p := range l.st.Residents.All() {
-		g.Expect(p).To(Equal(ledger.Location{Server: "i2", Model: "m", Version: "v"}), "adapters go with their model")
+		g.Expect(p).To(Equal(ledger.Location{Server: "i2", Model: "m", Version: "v"}), "adapters are unloaded with their model")
 	}
 }
 
-func TestTheLastOrderOfAServerIsRemembered(t *testing.T) {
+func TestLastOrderIndexIsKept(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1", model()))
 	g.Expect(l.st.Servers.Get("i1").Ordered).To(BeZero())
 	r := l.order(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "i1", Item: adapter("a1"), Memory: 1})
@@ -195,20 +195,20 @@
 	l.closeDone(r.Order.Id)
 	closed := l.st.Index
 	l.announce(server("i1", model()))
-	g.Expect(l.st.Servers.Get("i1").Ordered).To(Equal(closed), "also over its next word")
-	g.Expect(l.st.Clone().Encode().Servers[0].Ordered).To(Equal(closed), "and in snapshots")
+	g.Expect(l.st.Servers.Get("i1").Ordered).To(Equal(closed), "the next announcement keeps it")
+	g.Expect(l.st.Clone().Encode().Servers[0].Ordered).To(Equal(closed), "snapshots include it")
 }
 
-func TestTheLastCopyGoesOnlyWhereItStaysAtHand(t *testing.T) {
+func TestLastCopyIsUnloadedOnlyIfCached(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.announce(server("i1", model()))
 	unload := func() error {
 		return l.order(&wire.Order{Action: wire.OrderAction_ORDER_UNLOAD, Server: "i1", Item: model()}).Err
 	}
 	g.Expect(unload()).To(MatchError(ContainSubstring("no other ready copy")))
-	kept := server("i1", model())
-	kept.AtHand = []string{"m"}
-	l.announce(kept)
+	cached := server("i1", model())
+	cached.AtHand = []string{"m"}
+	l.announce(cached)
 	g.Expect(unload()).NotTo(HaveOccurred())
 }
--- a/state/evacuation.go
+++ b/state/evacuation.go
@@ -6,7 +6,7 @@
 	"leverdrum/wire"
 )
 
-// evacuate marks a data hall, or clears the mark. Both may be repeated.
+// evacuate marks a data hall as evacuated, or clears the mark. Both are idempotent.
 func (s *State) evacuate(e *wire.EvacuateHall, unixMs int64) {
 	if s.Level < level.Evacuations {
 		return
@@ -19,7 +19,7 @@
 	}
 }
 
-// KnowsHall reports whether a box or a backend server stands in a data hall, or the fleet file names it.
+// KnowsHall reports whether a data hall contains a box or a backend server, or is named by the fleet file.
 func (s *State) KnowsHall(hall string) bool {
 	for _, m := range s.Members {
 		if m.Hall == hall {
@@ -34,8 +34,8 @@
 	return s.Fleet != nil && s.Fleet.Halls[hall] != nil
 }
 
-// WarmUpLimit returns what a backend server takes while it warms up, 0 for no limit. One that is silent may be starting
-// again, and the first request would reach it before its next heartbeat.
+// WarmUpLimit returns the limit of a backend server that is warming up, 0 for no limit. An unresponsive server gets the
+// limit as well: it may be restarting, and the first request would reach it before its next heartbeat.
 func (s *State) WarmUpLimit(server string) dialect.Limit {
 	a := s.Announcements.Get(server)
 	if a == nil || !a.Cold && !a.Silent {
@@ -44,7 +44,7 @@
 	return s.WarmUpRate(server)
 }
 
-// WarmUpRate returns what a backend server takes whenever it warms up, 0 for no limit.
+// WarmUpRate returns the limit that a backend server has whenever it is warming up, 0 for no limit.
 func (s *State) WarmUpRate(server string) dialect.Limit {
 	a := s.Announcements.Get(server)
 	if a == nil || s.Fleet == nil || s.Fleet.Pools[a.Service] == nil {
--- a/state/evacuation_test.go
+++ b/state/evacuation_test.go
@@ -15,13 +15,13 @@
 	return &wire.Command{Kind: &wire.Command_Evacuate{Evacuate: &wire.EvacuateHall{Hall: hall, Undo: undo}}, UnixMs: 7}
 }
 
-// An evacuation that was agreed is lost with no snapshot, comes into force below no level that lacks it, and ends only when
-// it is taken back.
-func TestAnEvacuationStaysUntilItIsTakenBack(t *testing.T) {
+// A replicated evacuation must survive snapshots, have no effect below the level that introduces it, and end only when it
+// is undone.
+func TestEvacuationLastsUntilUndone(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.apply(evacuate("h", false))
-	g.Expect(l.st.Evacuated("h")).To(BeFalse(), "builds below the level do not know it")
+	g.Expect(l.st.Evacuated("h")).To(BeFalse(), "builds below the level do not support it")
 	l.apply(raise(level.Evacuations))
 	l.apply(evacuate("h", false))
 	l.apply(evacuate("h", false))
@@ -37,12 +37,12 @@
 	l.apply(evacuate("h", true))
 	l.apply(evacuate("h", true))
 	g.Expect(l.st.Evacuated("h")).To(BeFalse())
-	g.Expect(before.Evacuated("h")).To(BeTrue(), "a clone stays as it is")
+	g.Expect(before.Evacuated("h")).To(BeTrue(), "a clone does not change with the original")
 }
 
-func TestServersOfAnEvacuatedHallCountAsGone(t *testing.T) {
+func TestServersInEvacuatedHallAreExcluded(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.apply(raise(level.Evacuations))
 	l.announce(server("i1", model()))
 	other := server("i2", model())
@@ -59,15 +59,15 @@
 	g.Expect(l.st.KnowsHall("x")).To(BeFalse())
 }
 
-// A server that says that it warms up, or that is not heard, takes its service's rate for that.
-func TestServersThatWarmUpHaveALimit(t *testing.T) {
+// A server that reports that it is warming up, or that is unresponsive, gets the warm-up rate of its service.
+func TestWarmUpLimit(t *testing.T) {
 	g := NewWithT(t)
-	l := newLog(t)
+	l := newTestLog(t)
 	l.st.Fleet.Pools["p"].WarmUpRate = 6.9
 	cold := server("i1", model())
 	cold.Cold = true
 	l.announce(cold)
-	g.Expect(l.st.WarmUpLimit("i1")).To(BeZero(), "builds below the level do not know it")
+	g.Expect(l.st.WarmUpLimit("i1")).To(BeZero(), "builds below the level do not support it")
 	l.apply(raise(level.Evacuations))
 	l.announce(cold)
 	g.Expect(l.st.WarmUpLimit("i1").PerSecond()).To(BeNumerically("~", 6.9, 0.01))
@@ -76,6 +76,6 @@
 	silent := server("i1", model())
 	silent.Silent = true
 	l.announce(silent)
-	g.Expect(l.st.WarmUpLimit("i1")).NotTo(BeZero(), "it may be starting again")
+	g.Expect(l.st.WarmUpLimit("i1")).NotTo(BeZero(), "it may be restarting")
 	g.Expect(l.st.WarmUpLimit("unknown")).To(BeZero())
 }
--- a/state/file.go
+++ b/state/file.go
@@ -11,33 +11,32 @@
 	"leverdrum/wire"
 )
 
-// Rules for the text of a fleet file on its way:
+// Rules for the transfer of a fleet file's text:
 //
-//  1. An entry carries it packed against the file that is in force before the entry. That
-//     one is the same on every box, since entries are applied one after another.
-//  2. Where another file stands in the log between, or none is in force, it is packed by
-//     itself. So it is in what is told of it outside of the log.
+//  1. A log entry carries the text packed against the file that is active before the entry. That file is the same on
+//     every box, since entries are applied in order.
+//  2. If another file is in the log in between, or none is active, the text is packed without a base. The same holds
+//     for all transfers outside of the log.
 //
-// A file of 2,000 routes, 470 KB, is 33 KB by itself and 3 KB where only its time-outs
-// changed. Whole it took 6 s to all of 91 boxes, of which 83 are on links of 10 Mbit/s.
+// A file of 2,000 routes and 470 KB packs to 33 KB without a base, and to 3 KB if only its timeouts changed. Unpacked,
+// its transfer to all of 91 boxes took 6 s; 83 of them have 10 Mbit/s links.
 
-// maxFile bounds the text of a file, in bytes: as much as a message between boxes may
-// hold.
+// maxFile bounds the text of a file, in bytes, to the maximum size of a message between boxes.
 const maxFile = 32 << 20
 
-// PackFile returns an apply whose text is packed, against the file in force in a state (1)
-// or, where that is nil or has none, by itself (2).
-func PackFile(a *wire.ApplyFleet, onto *State) *wire.ApplyFleet {
+// PackFile returns an apply command with packed text: against the active file of the base state (1) or, if that state is
+// nil or has no file, without a base (2).
+func PackFile(a *wire.ApplyFleet, baseState *State) *wire.ApplyFleet {
 	p := &wire.ApplyFleet{Number: a.Number, Digest: a.Digest, Operator: a.Operator, Format: a.Format}
 	var base []byte
-	if onto != nil && onto.Version != nil {
-		p.Base, base = onto.Version.Index, []byte(onto.Text)
+	if baseState != nil && baseState.Version != nil {
+		p.Base, base = baseState.Version.Index, []byte(baseState.Text)
 	}
 	p.Packed = pack.Pack([]byte(a.Text), base)
 	return p
 }
 
-// UnpackFile returns an apply that was packed by itself with its text.
+// UnpackFile returns an apply command with the text unpacked. The command must have been packed without a base.
 func UnpackFile(a *wire.ApplyFleet) (*wire.ApplyFleet, error) {
 	text, err := New().textOf(a)
 	if err != nil {
@@ -46,7 +45,7 @@
 	return &wire.ApplyFleet{Number: a.Number, Digest: a.Digest, Operator: a.Operator, Format: a.Format, Text: text}, nil
 }
 
-// textOf returns the text of an apply that comes right behind this state.
+// textOf returns the text of an apply command that directly follows this state.
 func (s *State) textOf(a *wire.ApplyFleet) (string, error) {
 	if len(a.Packed) == 0 {
 		return a.Text, nil
@@ -56,13 +55,13 @@
 		base = []byte(s.Text)
 	}
 	if a.Base != 0 && a.Base != s.Version.GetIndex() {
-		return "", Error.New("file %d is packed against that of index %d, and that of %d is in force", a.Number, a.Base, s.Version.GetIndex())
+		return "", Error.New("fleet file %d is packed against the file of index %d, but the active file is that of index %d", a.Number, a.Base, s.Version.GetIndex())
 	}
 	text, err := pack.Unpack(a.Packed, base, maxFile)
 	return string(text), Error.Wrap(err)
 }
 
-// EncodeFile returns the fleet file in force as a snapshot holds it, and nothing else.
+// EncodeFile returns a snapshot that contains only the active fleet file.
 func (s *State) EncodeFile() *wire.State {
 	w := &wire.State{Index: s.Index, Fleet: s.Version, FleetFormat: s.Format}
 	if s.packed != nil {
@@ -71,7 +70,7 @@
 	return w
 }
 
-// FileText returns the text of the fleet file that an encoded state holds.
+// FileText returns the text of the fleet file in an encoded state.
 func FileText(w *wire.State) (string, error) {
 	if len(w.GetFleetPacked()) == 0 {
 		return w.GetFleetText(), nil
@@ -80,14 +79,13 @@
 	return string(text), Error.Wrap(err)
 }
 
-// setText takes over the text of the file in force. It is packed once for all snapshots
-// that hold it.
+// setText sets the text of the active file. It is packed once for all snapshots that contain it.
 func (s *State) setText(text, format string) {
 	s.Text, s.Format = text, format
 	s.packed = sync.OnceValue(func() []byte { return pack.Pack([]byte(text), nil) })
 }
 
-// IsFile reports whether an entry brings a fleet file.
+// IsFile reports whether an entry contains a fleet file.
 func IsFile(e *wire.Entry) bool {
 	if e.Kind != wire.EntryKind_ENTRY_COMMAND {
 		return false
@@ -98,7 +96,7 @@
 
 func (s *State) applyFleet(a *wire.ApplyFleet, unixMs int64) Result {
 	if first := s.accepted(a.Number); first != nil {
-		return s.secondFile(a, first)
+		return s.repeatedNumber(a, first)
 	}
 	if a.Number < s.Version.GetNumber() {
 		return Result{Apply: Older, Winner: s.Version}
@@ -113,16 +111,16 @@
 	}
 	s.Version = &wire.FleetVersion{Number: a.Number, Digest: a.Digest, Operator: a.Operator, Index: s.Index, UnixMs: unixMs}
 	s.setText(text, a.Format)
-	s.enterFleet(f)
+	s.setFleet(f)
 	s.History = append(s.History, s.Version)
 	if len(s.History) > historyLength {
 		s.History = slices.Clone(s.History[len(s.History)-historyLength:])
 	}
-	s.dropStrangers()
+	s.removeUnknownServers()
 	return Result{Apply: Accepted, Winner: s.Version}
 }
 
-// accepted returns the file of a number that was accepted, as far as remembered.
+// accepted returns the accepted file of a number, if it is still remembered.
 func (s *State) accepted(number uint64) *wire.FleetVersion {
 	for _, v := range slices.Backward(s.History) {
 		if v.Number == number {
@@ -132,7 +130,8 @@
 	return nil
 }
 
-func (s *State) secondFile(a *wire.ApplyFleet, first *wire.FleetVersion) Result {
+// repeatedNumber handles a file whose number was accepted before.
+func (s *State) repeatedNumber(a *wire.ApplyFleet, first *wire.FleetVersion) Result {
 	switch {
 	case first.Digest != a.Digest:
 		return Result{Apply: Conflict, Winner: first}
--- a/state/file_test.go
+++ b/state/file_test.go
@@ -21,19 +21,19 @@
 	return s.Apply(&wire.Entry{Index: s.Index + 1, Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 }
 
-// Packed or not, in the log or in a snapshot: all boxes come to the same text.
-func TestPackedFilesGiveTheSameText(t *testing.T) {
+// Packed or not, from the log or from a snapshot, all boxes must get the same text.
+func TestPackedFileRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		whole, follower := state.New(), state.New()
 		for number := range uint64(6) {
 			text := strings.Repeat(rapid.StringN(0, 30, -1).Draw(t, "part"), rapid.IntRange(0, 200).Draw(t, "times"))
 			a := standin.NumberedFile(number+1, text)
-			onto := whole
+			baseState := whole
 			if rapid.Bool().Draw(t, "alone") {
-				onto = nil
+				baseState = nil
 			}
-			packed := state.PackFile(a, onto)
+			packed := state.PackFile(a, baseState)
 			g.Expect(applyEntry(t, whole, a).Apply).To(Equal(state.Accepted))
 			g.Expect(applyEntry(t, follower, packed).Apply).To(Equal(state.Accepted))
 			g.Expect(follower.Text).To(Equal(a.Text))
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestAFilePackedAgainstAnotherIsInvalid(t *testing.T) {
+func TestFilePackedAgainstOtherBaseIsInvalid(t *testing.T) {
 	g := NewWithT(t)
 	s := state.New()
 	first := standin.NumberedFile(1, "one")
@@ -59,13 +59,13 @@
 	g.Expect(applyEntry(t, s, standin.NumberedFile(2, "two")).Apply).To(Equal(state.Accepted))
 	g.Expect(applyEntry(t, s, stale).Apply).To(Equal(state.Invalid))
 	g.Expect(s.Version.Number).To(BeEquivalentTo(2))
-	spoilt := state.PackFile(standin.NumberedFile(4, "four"), s)
-	spoilt.Packed = spoilt.Packed[:len(spoilt.Packed)-1]
-	g.Expect(applyEntry(t, s, spoilt).Apply).To(Equal(state.Invalid))
+	corrupted := state.PackFile(standin.NumberedFile(4, "four"), s)
+	corrupted.Packed = corrupted.Packed[:len(corrupted.Packed)-1]
+	g.Expect(applyEntry(t, s, corrupted).Apply).To(Equal(state.Invalid))
 }
 
-// A log from before files were packed holds their texts.
-func TestAWholeTextIsRead(t *testing.T) {
+// Logs and snapshots written before files were packed contain the plain text.
+func TestUnpackedTextIsAccepted(t *testing.T) {
 	g := NewWithT(t)
 	s := state.New()
 	a := standin.NumberedFile(1, "one")
--- a/state/lives_test.go
+++ b/state/incarnations_test.go
@@ -10,7 +10,7 @@
 	"leverdrum/wire"
 )
 
-// entries applies commands one after another.
+// entries applies commands in order.
 type entries struct {
 	*state.State
 	t *testing.T
@@ -24,7 +24,7 @@
 	return e.Apply(&wire.Entry{Index: e.Index + 1, Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 }
 
-func life(born uint64, id string, models ...string) *wire.Command {
+func announcement(born uint64, id string, models ...string) *wire.Command {
 	a := &wire.Announcement{Id: id, Name: "i-1", BornMs: born, Service: "s", Address: "10.0.0.9:80", Slots: 4, Engine: true}
 	for _, m := range models {
 		a.Residents = append(a.Residents, &wire.Item{Model: m, Version: "v"})
@@ -32,28 +32,28 @@
 	return &wire.Command{Kind: &wire.Command_Announce{Announce: a}}
 }
 
-// A server that starts again under its name: what it held, its open orders and its leaving end with the life before, and
-// that life's late words change nothing.
-func TestTheLifeBeforeEnds(t *testing.T) {
+// When a server restarts under its name, the residents, open orders and draining mark of its previous incarnation must
+// end, and late messages of that incarnation must be ignored.
+func TestNewIncarnationReplacesPrevious(t *testing.T) {
 	g := NewWithT(t)
 	e := &entries{state.New(), t}
-	e.apply(life(1000, "i-1~1000", "m1"))
+	e.apply(announcement(1000, "i-1~1000", "m1"))
 	e.apply(&wire.Command{Kind: &wire.Command_Withdraw{Withdraw: &wire.Withdraw{Id: "i-1~1000"}}})
 	e.Orders.Set(9, &wire.Order{Id: 9, Server: "i-1~1000", Item: &wire.Item{Model: "m2"}})
 	e.Servers.Set("i-1~1000", &wire.ServerState{Name: "i-1~1000", Ordered: 2})
 
-	e.apply(life(2000, "i-1~2000"))
+	e.apply(announcement(2000, "i-1~2000"))
 	g.Expect(e.Announcements.Len()).To(Equal(1))
 	next := e.Announcements.Get("i-1~2000")
-	g.Expect(next.Leaving).To(BeFalse(), "that was the life before")
-	g.Expect(next.Heir).To(BeTrue(), "an order to it was open and may still arrive")
+	g.Expect(next.Leaving).To(BeFalse(), "only the previous incarnation was draining")
+	g.Expect(next.Heir).To(BeTrue(), "an order to the previous incarnation was open and may still arrive")
 	g.Expect(e.Residents.Len()).To(BeZero())
 	g.Expect(e.Orders.Len()).To(BeZero())
-	g.Expect(e.Servers.Get("i-1~2000").Ordered).To(BeEquivalentTo(2), "two leaders still keep their pause")
+	g.Expect(e.Servers.Get("i-1~2000").Ordered).To(BeEquivalentTo(2), "two leaders still keep the pause between their orders")
 	g.Expect(e.Servers.Len()).To(Equal(1))
 
-	e.apply(life(1000, "i-1~1000", "m1"))
-	g.Expect(e.Announcements.Len()).To(Equal(1), "a late word of the life before")
+	e.apply(announcement(1000, "i-1~1000", "m1"))
+	g.Expect(e.Announcements.Len()).To(Equal(1), "a late announcement of the previous incarnation")
 	g.Expect(e.Residents.Len()).To(BeZero())
 	back, err := state.Decode(e.Encode())
 	g.Expect(err).NotTo(HaveOccurred())
--- a/state/level_test.go
+++ b/state/level_test.go
@@ -12,7 +12,7 @@
 	"leverdrum/wire"
 )
 
-// withWorkspace is a file that a build below level.Workspaces refuses.
+// withWorkspace is a file that builds below level.Workspaces reject.
 const withWorkspace = "[fleet]\nnumber = 1\n[workspace w]\nkeys = a-key-of-the-workspace\n"
 
 func applyOf(text string) *wire.Command {
@@ -37,16 +37,16 @@
 	return st, last
 }
 
-func TestAFileIsReadByTheLevelInForce(t *testing.T) {
+func TestFileIsDecodedAtActiveLevel(t *testing.T) {
 	g := NewWithT(t)
 	_, before := applyAll(t, applyOf(withWorkspace))
-	g.Expect(before.Apply).To(Equal(state.Invalid), "as the build before has it")
+	g.Expect(before.Apply).To(Equal(state.Invalid), "builds below the level reject it, too")
 	st, after := applyAll(t, raise(level.Workspaces), applyOf(withWorkspace))
 	g.Expect(after.Apply).To(Equal(state.Accepted))
 	g.Expect(st.Fleet.Workspaces.ByName("w")).NotTo(BeNil())
 }
 
-func TestALevelNeverGoesBackAndStandsInSnapshots(t *testing.T) {
+func TestLevelNeverDecreasesAndIsInSnapshots(t *testing.T) {
 	g := NewWithT(t)
 	st, _ := applyAll(t, raise(level.Workspaces), raise(level.First), applyOf(withWorkspace))
 	g.Expect(st.Level).To(Equal(level.Workspaces))
@@ -56,7 +56,7 @@
 	g.Expect(again.Fleet.Workspaces.ByName("w")).NotTo(BeNil())
 }
 
-func TestWhatABuildDoesNotKnowIsToldAndNotPassedOver(t *testing.T) {
+func TestUnsupportedLevelOrCommandIsReported(t *testing.T) {
 	g := NewWithT(t)
 	_, result := applyAll(t, raise(level.Newest+1))
 	g.Expect(result.UnknownLevel).To(HaveOccurred())
@@ -65,5 +65,5 @@
 	w := state.New().Encode()
 	w.Level = uint32(level.Newest) + 1
 	_, err := state.Decode(w)
-	g.Expect(err).To(MatchError(ContainSubstring("start a build that knows it")))
+	g.Expect(err).To(MatchError(ContainSubstring("start a build that supports it")))
 }
--- a/state/limits.go
+++ b/state/limits.go
@@ -5,7 +5,8 @@
 	"leverdrum/wire"
 )
 
-// KnowsServer reports whether a backend server, one of a plain service included, announced itself or stands in the fleet file.
+// KnowsServer reports whether a backend server, including one of a plain service, announced itself or is in the fleet
+// file.
 func (s *State) KnowsServer(server string) bool {
 	if s.Announcements.Get(server) != nil {
 		return true
@@ -13,8 +14,8 @@
 	return s.Fleet != nil && (s.Fleet.Servers[server] != nil || s.Fleet.Instances[server] != nil)
 }
 
-// limitServer takes over what a server named. It ends with the server's life (forgetServer).
-func (s *State) limitServer(l *wire.ServerLimit, unixMs int64) {
+// setLimit records the limit that a server reported. It lasts until the server is removed (removeServer).
+func (s *State) setLimit(l *wire.ServerLimit, unixMs int64) {
 	s.ownLimits()
 	if l.Milli == 0 || !s.KnowsServer(l.Server) {
 		delete(s.Limits, l.Server)
@@ -23,7 +24,7 @@
 	s.Limits[l.Server] = &wire.ServerLimit{Server: l.Server, Milli: l.Milli, UnixMs: unixMs}
 }
 
-// LimitOf returns the agreed limit of a server, 0 for none.
+// LimitOf returns the replicated limit of a server, 0 for none.
 func (s *State) LimitOf(server string) dialect.Limit {
 	return dialect.Limit(s.Limits[server].GetMilli())
 }
--- a/state/members.go
+++ b/state/members.go
@@ -9,31 +9,30 @@
 	"leverdrum/wire"
 )
 
-// Rules for the list of boxes and what is derived from it:
+// Rules for the list of boxes and the state derived from it:
 //
-//  1. Each listed run of a box has a place, a small number that stands for it in reports.
-//     A place is given anew, with the index of the entry, when a box joins that has none or
-//     under another incarnation or process; places of boxes that left are given again, the
-//     lowest first.
-//  2. Only some boxes guard keys, the same number in each data hall, guardsMost at most; all
-//     of them where there are no more. Who does goes on as long as it is listed and does not
-//     leave; who is missing is made good by name. So a start of 300 boxes changes the list of
-//     guards some 30 times instead of 300, and each list is of 24 processes instead of 300:
-//     of the 0.7 s of processor time that such a start took a box, these lists were the most.
-//  3. A change of the list of guards is an epoch (package claim).
-
-// guardsMost bounds the boxes that guard keys. Three hold each of 64 slots; 24 boxes hold 8
-// slots each, and four in each of six halls outlive what a fleet loses at once.
-const guardsMost = 24
-
-// epochsLength is how many lists of guards are remembered, so that a box that was behind
-// can still take over claims step by step.
-const epochsLength = 48
-
-// MemberID names one incarnation of a box.
+//  1. Each listed run of a box has a roster index, a small number that identifies it in reports. An index is assigned,
+//     with the index of the log entry, when a box joins that has none, or joins under another incarnation or process.
+//     Indexes of removed boxes are reused, lowest first.
+//  2. Only some boxes are claim replicas (they store the claims on keys): at most maxClaimReplicas, with the same number
+//     in each data hall, or all boxes if there are no more than that. A replica stays one while it is listed and not
+//     draining. Missing replicas are replaced in the order of names. So a start of 300 boxes changes the list of replicas
+//     about 30 times instead of 300, and each list has 24 processes instead of 300. Without this bound, these lists
+//     were the largest part of the 0.7 s of processor time that such a start took on each box.
+//  3. A change of the list of claim replicas starts a new epoch (package claim).
+
+// maxClaimReplicas bounds the claim replicas. Three boxes hold each of 64 slots, so 24 boxes hold 8 slots each. Four
+// replicas in each of six halls survive the simultaneous failures that a fleet has to expect.
+const maxClaimReplicas = 24
+
+// maxEpochs bounds the remembered lists of claim replicas. A box that fell behind uses them to transfer claims step by
+// step.
+const maxEpochs = 48
+
+// MemberID identifies one incarnation of a box.
 func MemberID(m *wire.Member) string { return m.GetBox() + "/" + m.GetIncarnation() }
 
-// ProcessID names one run of a box.
+// ProcessID identifies one run of a box.
 func ProcessID(m *wire.Member) string { return m.GetBox() + "/" + m.GetProcess() }
 
 func (s *State) join(m *wire.Member) {
@@ -44,10 +43,10 @@
 	s.ownMembers()
 	s.Members[m.Box] = m
 	if old == nil || MemberID(old) != MemberID(m) || ProcessID(old) != ProcessID(m) {
-		s.clearPlace(old)
-		s.givePlace(m)
+		s.releaseIndex(old)
+		s.assignIndex(m)
 	}
-	s.enterEpoch()
+	s.updateEpoch()
 }
 
 func (s *State) leave(l *wire.Leave) {
@@ -57,23 +56,23 @@
 	}
 	s.ownMembers()
 	delete(s.Members, l.Box)
-	s.clearPlace(m)
-	s.enterEpoch()
+	s.releaseIndex(m)
+	s.updateEpoch()
 }
 
-// givePlace is rule 1.
-func (s *State) givePlace(m *wire.Member) {
-	place := &wire.Place{Member: MemberID(m), Since: s.Index}
+// assignIndex implements rule 1.
+func (s *State) assignIndex(m *wire.Member) {
+	entry := &wire.Place{Member: MemberID(m), Since: s.Index}
 	roster := slices.Clone(s.Roster)
 	if i := slices.IndexFunc(roster, func(p *wire.Place) bool { return p.Member == "" }); i >= 0 {
-		roster[i] = place
+		roster[i] = entry
 	} else {
-		roster = append(roster, place)
+		roster = append(roster, entry)
 	}
 	s.Roster = roster
 }
 
-func (s *State) clearPlace(m *wire.Member) {
+func (s *State) releaseIndex(m *wire.Member) {
 	if m == nil {
 		return
 	}
@@ -86,53 +85,52 @@
 	s.Roster[i] = &wire.Place{Since: s.Index}
 }
 
-// placeAll gives places to listed boxes that have none: a state of an earlier version has
-// no roster.
-func (s *State) placeAll() {
-	placed := make(map[string]bool, len(s.Roster))
+// assignMissingIndexes assigns roster indexes to listed boxes without one: the state of an earlier version has no roster.
+func (s *State) assignMissingIndexes() {
+	assigned := make(map[string]bool, len(s.Roster))
 	for _, p := range s.Roster {
-		placed[p.Member] = true
+		assigned[p.Member] = true
 	}
 	for _, box := range slices.Sorted(maps.Keys(s.Members)) {
-		if m := s.Members[box]; !placed[MemberID(m)] {
-			s.givePlace(m)
+		if m := s.Members[box]; !assigned[MemberID(m)] {
+			s.assignIndex(m)
 		}
 	}
 }
 
-// enterEpoch is rule 3.
-func (s *State) enterEpoch() {
+// updateEpoch implements rule 3.
+func (s *State) updateEpoch() {
 	var last *wire.Epoch
 	if n := len(s.Epochs); n > 0 {
 		last = s.Epochs[n-1]
 	}
-	guards := s.guards(last)
-	if last != nil && slices.EqualFunc(last.Processes, guards, func(a, b *wire.Process) bool { return a.Id == b.Id && a.Hall == b.Hall }) {
+	replicas := s.claimReplicas(last)
+	if last != nil && slices.EqualFunc(last.Processes, replicas, func(a, b *wire.Process) bool { return a.Id == b.Id && a.Hall == b.Hall }) {
 		return
 	}
-	next := &wire.Epoch{Number: last.GetNumber() + 1, Processes: guards}
+	next := &wire.Epoch{Number: last.GetNumber() + 1, Processes: replicas}
 	s.Epochs = append(slices.Clone(s.Epochs), next)
-	s.Epochs = s.Epochs[max(0, len(s.Epochs)-epochsLength):]
+	s.Epochs = s.Epochs[max(0, len(s.Epochs)-maxEpochs):]
 }
 
-// guards is rule 2, in the order of the boxes' names.
-func (s *State) guards(last *wire.Epoch) []*wire.Process {
-	halls := map[string]int{} // guards by hall
-	staying := 0
+// claimReplicas implements rule 2. The list is in the order of the boxes' names.
+func (s *State) claimReplicas(last *wire.Epoch) []*wire.Process {
+	halls := map[string]int{} // claim replicas by hall
+	active := 0
 	for _, m := range s.Members {
 		if !m.Leaving {
 			halls[m.Hall] = 0
-			staying++
+			active++
 		}
 	}
-	most := guardsMost
-	if staying > guardsMost {
-		most = max(1, guardsMost/len(halls))
+	maxPerHall := maxClaimReplicas
+	if active > maxClaimReplicas {
+		maxPerHall = max(1, maxClaimReplicas/len(halls))
 	}
 	var chosen []string
 	choose := func(box string) {
 		m := s.Members[box]
-		if m == nil || m.Leaving || halls[m.Hall] >= most || slices.Contains(chosen, box) {
+		if m == nil || m.Leaving || halls[m.Hall] >= maxPerHall || slices.Contains(chosen, box) {
 			return
 		}
 		halls[m.Hall]++
@@ -141,8 +139,8 @@
 	for _, p := range last.GetProcesses() {
 		choose(wire.BoxOf(p.Id))
 	}
-	if staying > len(chosen) {
-		for _, box := range s.vacant(halls, most) {
+	if active > len(chosen) {
+		for _, box := range s.candidates(halls, maxPerHall) {
 			choose(box)
 		}
 	}
@@ -155,11 +153,11 @@
 	return list
 }
 
-// vacant lists the boxes of halls that have fewer guards than they may, by name.
-func (s *State) vacant(halls map[string]int, most int) []string {
+// candidates returns, by name, the boxes in halls that have fewer than the maximum number of claim replicas.
+func (s *State) candidates(halls map[string]int, maxPerHall int) []string {
 	var list []string
 	for box, m := range s.Members {
-		if !m.Leaving && halls[m.Hall] < most {
+		if !m.Leaving && halls[m.Hall] < maxPerHall {
 			list = append(list, box)
 		}
 	}
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -10,7 +10,7 @@
 	"leverdrum/wire"
 )
 
-// Encode returns the state as a snapshot holds it.
+// Encode returns the state as a snapshot.
 func (s *State) Encode() *wire.State {
 	w := s.EncodeFile()
 	w.History, w.Moves, w.Most, w.Epochs, w.Roster = s.History, s.Moves, s.MaxCopies, s.Epochs, s.Roster
@@ -39,17 +39,17 @@
 	return w
 }
 
-// Decode returns the state that a snapshot holds. It takes the snapshot over, which must not be used any more.
+// Decode returns the state of a snapshot. It takes ownership of the snapshot, which the caller must not use afterwards.
 func Decode(w *wire.State) (*State, error) {
 	s := New()
 	if s.Level = level.Level(w.GetLevel()); s.Level > level.Newest {
-		return nil, Error.New("the snapshot at %d is of %v; start a build that knows it", w.GetIndex(), s.Level)
+		return nil, Error.New("the snapshot at index %d is of %v; start a build that supports it", w.GetIndex(), s.Level)
 	}
 	s.Index, s.Version, s.History = w.GetIndex(), w.GetFleet(), w.GetHistory()
 	s.Moves, s.Epochs, s.Roster = w.GetMoves(), w.GetEpochs(), w.GetRoster()
 	s.Crashers = crasher.Decode(w.GetSuspects())
 	for _, a := range w.GetAnnounced() {
-		s.Announcements.Set(a.Id, s.shareTexts(a))
+		s.Announcements.Set(a.Id, s.internAnnouncement(a))
 	}
 	if s.Version != nil {
 		text, err := FileText(w)
@@ -59,23 +59,23 @@
 		s.setText(text, w.GetFleetFormat())
 		f, err := fleet.DecodeAt(s.Level, s.Format, []byte(s.Text))
 		if err != nil {
-			return nil, Error.New("the fleet file of the snapshot at %d cannot be read: %v", s.Index, err)
+			return nil, Error.New("the fleet file of the snapshot at index %d cannot be decoded: %v", s.Index, err)
 		}
-		s.enterFleet(f)
+		s.setFleet(f)
 	}
 	maps.Copy(s.MaxCopies, w.GetMost())
 	for _, m := range w.GetMembers() {
 		s.Members[m.Box] = m
 	}
-	s.placeAll()
+	s.assignMissingIndexes()
 	for _, v := range w.GetServers() {
-		s.Servers.Set(v.Name, s.shareServer(v))
+		s.Servers.Set(v.Name, s.internServer(v))
 	}
 	for _, r := range w.GetResidents() {
 		if a := s.Announcements.Get(r.Server); a != nil {
 			r.Server = a.Id
 		}
-		r.Item = s.shareItem(r.Item)
+		r.Item = s.internItem(r.Item)
 		s.Residents.Put(r)
 	}
 	for _, l := range w.GetLimits() {
--- a/state/state.go
+++ b/state/state.go
@@ -1,8 +1,7 @@
-// Package state is what the boxes agree on: the fleet file in force, the list
-// of boxes, the backend servers, what is resident on them, and the open orders.
+// Package state holds the state that the boxes replicate: the active fleet file, the list of boxes, the backend
+// servers, the items resident on them, and the open orders.
 //
-// A State changes only by applying the entries of the log one after another.
-// The same entries give the same state on every box.
+// A State changes only by applying log entries in order. The same entries give the same state on every box.
 package state
 
 import (
@@ -21,103 +20,101 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("state")
 
-// historyLength is how many accepted files are remembered, so that a resend of
-// an older one gets its first answer.
+// historyLength bounds the accepted files that are remembered, so that resending an older one gets its first answer.
 const historyLength = 256
 
-// ApplyOutcome is what became of a fleet file.
+// ApplyOutcome is the outcome of applying a fleet file.
 type ApplyOutcome string
 
 // The outcomes of an apply.
 const (
-	// Accepted: the file is the newest now.
+	// Accepted: the file is now the newest.
 	Accepted ApplyOutcome = "accepted"
-	// Resent: the same file was accepted before, and is the newest.
+	// Resent: the same file was accepted before and is still the newest.
 	Resent ApplyOutcome = "resent"
-	// Superseded: the same file was accepted before; a newer one followed.
+	// Superseded: the same file was accepted before, and a newer one since.
 	Superseded ApplyOutcome = "superseded"
-	// Conflict: another file of this number was accepted.
+	// Conflict: a different file with this number was accepted.
 	Conflict ApplyOutcome = "conflict"
-	// Older: the number is below that of the file in force.
+	// Older: the number is below that of the active file.
 	Older ApplyOutcome = "older"
-	// Invalid: the file does not pass the checks of this version.
+	// Invalid: the file fails the checks of this version.
 	Invalid ApplyOutcome = "invalid"
 )
 
-// Result is what applying one entry gave.
+// Result is the result of applying one entry.
 type Result struct {
-	// Apply and Winner are set for fleet files.
+	// Apply and Winner are set for fleet files. Winner is the accepted file that decided the outcome.
 	Apply  ApplyOutcome
 	Winner *wire.FleetVersion
-	// Err says why an order was not issued.
+	// Err is the reason why an entry was rejected, for example why an order was not issued.
 	Err error
 	// Order is the order that was issued.
 	Order *wire.Order
-	// UnknownLevel tells that the entry is of a level that this build does not know, so that the state is
-	// that of the other boxes no more.
+	// UnknownLevel is set if the entry needs a level that this build does not support. The state then differs from that
+	// of the other boxes.
 	UnknownLevel error
-	// Blocked and Released are requests that are kept from servers now, and those that no longer are.
+	// Blocked and Released are requests that are kept from servers from now on, and those that no longer are.
 	Blocked, Released []*wire.Suspect
 }
 
-// State is the agreed state at one index. What its maps hold is never changed
-// in place, so that a Clone may be read while the original goes on.
+// State is the replicated state at one index. The values in its maps are never modified in place, so that a Clone may be
+// read while the original is updated.
 type State struct {
 	Index uint64
-	// Level is in force (package level).
+	// Level is the active level, see package level.
 	Level   level.Level
 	Version *wire.FleetVersion
 	Text    string
 	// Format is the codec of Text.
 	Format  string
-	packed  func() []byte // Text packed by itself; nil without one
+	packed  func() []byte // Text packed without a base; nil if there is no text
 	History []*wire.FleetVersion
-	// Announcements are the backend servers that announced themselves, those that left included until nothing of them can
-	// arrive any more.
+	// Announcements are the backend servers that announced themselves. Draining ones are included until no message of
+	// theirs can arrive any more.
 	Announcements *Announcements
 
-	// Members by box.
+	// Members are the listed boxes, by box.
 	Members map[string]*wire.Member
-	// Roster gives listed boxes their places, see members.go.
+	// Roster assigns an index to each listed box, see members.go.
 	Roster []*wire.Place
-	// Epochs are the newest lists of processes that guard keys, newest last.
+	// Epochs are the newest lists of claim replicas, newest last.
 	Epochs []*wire.Epoch
 
-	// Limits are what backend servers take a second from all boxes together, by server; those that named none are
-	// missing.
+	// Limits are the rates per second that backend servers accept from all boxes together, by server. Servers without a
+	// limit are absent.
 	Limits map[string]*wire.ServerLimit
 
-	// Crashers are the requests under which servers ended.
+	// Crashers are the requests during which servers crashed.
 	Crashers crasher.Book
 
-	// Moves counts the loads behind the first placement of each item.
+	// Moves counts the loads other than the first placement of each item.
 	Moves uint64
-	// MaxCopies is the most copies that each model or adapter ever had, loads under
-	// way included, by name.
+	// MaxCopies is the highest number of copies that each model or adapter ever had, by name. Loading copies count.
 	MaxCopies map[string]uint32
 
 	ledger.Inventory
 
-	texts *texts
-	// shared tells which maps a clone holds, too: they are copied before they are changed.
-	shared shared
+	interner *interner
+	// shared marks the maps that a clone refers to as well. They are copied before they are changed.
+	shared sharedMaps
 }
 
-// shared are the maps that a state may share with its clones.
-type shared struct{ members, most, limits bool }
+// sharedMaps are the maps that a state may share with its clones.
+type sharedMaps struct{ members, maxCopies, limits bool }
 
-var allShared = shared{true, true, true}
+var allShared = sharedMaps{true, true, true}
 
-// ownMembers, ownMost and ownLimits make a map the state's own before it is changed.
+// ownMembers, ownMaxCopies and ownLimits copy a shared map before it is changed.
 func (s *State) ownMembers() {
 	if s.shared.members {
 		s.Members, s.shared.members = maps.Clone(s.Members), false
 	}
 }
 
-func (s *State) ownMost() {
-	if s.shared.most {
-		s.MaxCopies, s.shared.most = maps.Clone(s.MaxCopies), false
+func (s *State) ownMaxCopies() {
+	if s.shared.maxCopies {
+		s.MaxCopies, s.shared.maxCopies = maps.Clone(s.MaxCopies), false
 	}
 }
 
@@ -130,13 +127,13 @@
 // New returns the state before the first entry.
 func New() *State {
 	return &State{
-		Members: map[string]*wire.Member{}, MaxCopies: map[string]uint32{}, Announcements: newAnnounced(), Limits: map[string]*wire.ServerLimit{}, Crashers: crasher.NewBook(),
-		Inventory: ledger.NewInventory(), texts: newTexts(),
+		Members: map[string]*wire.Member{}, MaxCopies: map[string]uint32{}, Announcements: newAnnouncements(), Limits: map[string]*wire.ServerLimit{}, Crashers: crasher.NewBook(),
+		Inventory: ledger.NewInventory(), interner: newInterner(),
 	}
 }
 
-// Clone returns a copy that stays as it is. What goes by the count of servers is shared until it changes; the small maps are
-// copied by whoever changes them next.
+// Clone returns a copy that does not change with the original. Maps that grow with the number of servers are persistent
+// and share their contents; the small maps are copied on the next write to either state.
 func (s *State) Clone() *State {
 	c := *s
 	c.Announcements, c.Inventory = s.Announcements.clone(), s.Inventory.Clone()
@@ -144,10 +141,10 @@
 	return &c
 }
 
-// Apply applies the entry behind Index.
+// Apply applies the next entry, the one at Index+1.
 func (s *State) Apply(e *wire.Entry) Result {
 	if e.Index != s.Index+1 {
-		panic("state: entries must be applied one after another")
+		panic("state: entries must be applied in order")
 	}
 	s.Index = e.Index
 	if e.Kind != wire.EntryKind_ENTRY_COMMAND {
@@ -155,7 +152,7 @@
 	}
 	c := &wire.Command{}
 	if err := proto.Unmarshal(e.Data, c); err != nil {
-		return Result{Err: Error.New("entry %d cannot be read: %v", e.Index, err)}
+		return Result{Err: Error.New("entry %d cannot be decoded: %v", e.Index, err)}
 	}
 	switch k := c.Kind.(type) {
 	case *wire.Command_Apply:
@@ -169,7 +166,7 @@
 	case *wire.Command_Close:
 		return s.closeOrder(k.Close)
 	case *wire.Command_Server:
-		s.serverSeen(k.Server)
+		s.applyServerSeen(k.Server)
 	case *wire.Command_Announce:
 		s.announce(k.Announce)
 	case *wire.Command_Withdraw:
@@ -179,42 +176,42 @@
 	case *wire.Command_Raise:
 		return s.raise(level.Level(k.Raise.Level))
 	case *wire.Command_Limit:
-		s.limitServer(k.Limit, c.UnixMs)
+		s.setLimit(k.Limit, c.UnixMs)
 	case *wire.Command_Evacuate:
 		s.evacuate(k.Evacuate, c.UnixMs)
 	case *wire.Command_Release:
 		return Result{Released: s.Crashers.Release(k.Release, crasher.At{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
 	default:
-		return Result{UnknownLevel: Error.New("entry %d is a command that this build does not know", e.Index)}
+		return Result{UnknownLevel: Error.New("entry %d is a command that this build does not support", e.Index)}
 	}
 	return Result{}
 }
 
-// raise is rule 1 of package level.
+// raise implements rule 1 of package level.
 func (s *State) raise(to level.Level) Result {
 	if to > level.Newest {
-		return Result{UnknownLevel: Error.New("entry %d raises to %v", s.Index, to)}
+		return Result{UnknownLevel: Error.New("entry %d raises the level to %v", s.Index, to)}
 	}
 	s.Level = max(s.Level, to)
 	return Result{}
 }
 
-// dropStrangers forgets servers that the fleet file does not name any more.
-func (s *State) dropStrangers() {
-	var strangers []string
+// removeUnknownServers removes servers that the fleet file no longer names and that did not announce themselves.
+func (s *State) removeUnknownServers() {
+	var unknown []string
 	for name := range s.Servers.All() {
 		if s.Fleet.Servers[name] == nil && s.Announcements.Get(name) == nil {
-			strangers = append(strangers, name)
+			unknown = append(unknown, name)
 		}
 	}
-	for _, name := range strangers {
-		s.forgetServer(name)
+	for _, name := range unknown {
+		s.removeServer(name)
 	}
 	s.ownLimits()
 	maps.DeleteFunc(s.Limits, func(name string, _ *wire.ServerLimit) bool { return !s.KnowsServer(name) })
 }
 
-func (s *State) forgetServer(name string) {
+func (s *State) removeServer(name string) {
 	s.Servers.Delete(name)
 	if s.Limits[name] != nil {
 		s.ownLimits()
@@ -240,12 +237,12 @@
 	if o.Action == wire.OrderAction_ORDER_LOAD {
 		s.countMove(o.Item)
 	}
-	s.noteOrdered(o.Server)
+	s.recordOrderIndex(o.Server)
 	return Result{Order: o}
 }
 
-// noteOrdered remembers the entry that was about an order to a server last.
-func (s *State) noteOrdered(server string) {
+// recordOrderIndex records the current entry as the last one about an order to the server.
+func (s *State) recordOrderIndex(server string) {
 	if old := s.Servers.Get(server); old != nil {
 		next := proto.CloneOf(old)
 		next.Ordered = s.Index
@@ -253,8 +250,8 @@
 	}
 }
 
-// countMove counts a load as a move, unless it is part of the first placement:
-// the item never had so many copies, and the fleet file asks for them.
+// countMove counts a load as a move unless it belongs to the first placement: the item never had this many copies, and
+// the fleet file asks for them.
 func (s *State) countMove(item *wire.Item) {
 	name := cmp.Or(item.Adapter, item.Model)
 	have := uint32(0)
@@ -269,12 +266,12 @@
 		s.Moves++
 	}
 	if have > s.MaxCopies[name] {
-		s.ownMost()
+		s.ownMaxCopies()
 		s.MaxCopies[name] = have
 	}
 }
 
-// sizeOf keeps the size that was counted when the item was loaded.
+// sizeOf returns the size that was counted when the item was loaded.
 func (s *State) sizeOf(o *wire.Order) uint64 {
 	if r := s.Residents.Get(ledger.OrderLocation(o)); r != nil {
 		return r.Memory
@@ -282,9 +279,8 @@
 	return o.Memory
 }
 
-// dropAdapters forgets the on-demand adapters of a model that was unloaded: they
-// went with it.
-func (s *State) dropAdapters(model ledger.Location) {
+// removeOnDemandAdapters removes the on-demand adapters of an unloaded model: they are unloaded with it.
+func (s *State) removeOnDemandAdapters(model ledger.Location) {
 	if model.Adapter != "" {
 		return
 	}
@@ -300,16 +296,16 @@
 		return Result{Err: Error.New("order %d is not open", c.Id)}
 	}
 	s.Orders.Delete(c.Id)
-	s.noteOrdered(o.Server)
-	place := ledger.OrderLocation(o)
+	s.recordOrderIndex(o.Server)
+	location := ledger.OrderLocation(o)
 	done := c.Outcome == wire.OrderOutcome_OUTCOME_DONE
 	load := o.Action == wire.OrderAction_ORDER_LOAD
 	if done != load {
-		s.Residents.Delete(place)
-		s.dropAdapters(place)
+		s.Residents.Delete(location)
+		s.removeOnDemandAdapters(location)
 		return Result{}
 	}
-	if old := s.Residents.Get(place); old != nil {
+	if old := s.Residents.Get(location); old != nil {
 		r := proto.CloneOf(old)
 		r.Phase, r.Order = wire.Phase_PHASE_READY, 0
 		s.Residents.Put(r)
@@ -317,11 +313,10 @@
 	return Result{}
 }
 
-// serverSeen takes over what a server said. Under a new incarnation it has lost
-// what was resident. One that does not check fences may still run an order that
-// was given before, be it open or closed: it is quarantined, and gets nothing
-// until its state was read after none can arrive any more.
-func (s *State) serverSeen(seen *wire.ServerSeen) {
+// applyServerSeen records a server's report. Under a new incarnation the server has lost its residents. A server that
+// does not check fences may still run an order issued earlier, whether open or closed: it is quarantined and gets no
+// orders until its state was read after the last such order can have arrived.
+func (s *State) applyServerSeen(seen *wire.ServerSeen) {
 	server := s.Server(seen.Server)
 	if server == nil {
 		return
@@ -329,20 +324,20 @@
 	old := s.Servers.Get(seen.Server)
 	next := &wire.ServerState{Name: seen.Server, Incarnation: seen.Incarnation, Leaving: seen.Leaving, Ordered: old.GetOrdered()}
 	if old.GetIncarnation() != seen.Incarnation {
-		s.takeResidents(seen)
+		s.resetServer(seen)
 		next.Quarantined = !server.Kind.ChecksFences
 	} else if old.Quarantined {
 		next.Quarantined = !seen.Settled
 		if seen.Settled {
-			s.takeResidents(seen)
+			s.resetServer(seen)
 		}
 	}
 	s.Servers.Set(seen.Server, next)
 }
 
-// takeResidents replaces all that was known of a server.
-func (s *State) takeResidents(seen *wire.ServerSeen) {
-	s.forgetServer(seen.Server)
+// resetServer replaces everything recorded about a server.
+func (s *State) resetServer(seen *wire.ServerSeen) {
+	s.removeServer(seen.Server)
 	for _, r := range seen.Residents {
 		s.Residents.Put(r)
 	}
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -23,8 +23,7 @@
 	return st.Apply(&wire.Entry{Index: st.Index + 1, Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 }
 
-// TestApply goes through files one after another; each row says what becomes of
-// one, and who is named as the winner.
+// TestApply applies files in order. Each row has the expected outcome of one file and the winner that is named.
 func TestApply(t *testing.T) {
 	st := state.New()
 	for _, row := range []struct {
@@ -51,7 +50,7 @@
 	NewWithT(t).Expect(st.Version.Number).To(BeEquivalentTo(5))
 }
 
-func TestFileThatIsNotWhatItClaims(t *testing.T) {
+func TestFileWithWrongDigestOrNumberIsInvalid(t *testing.T) {
 	g := NewWithT(t)
 	st := state.New()
 	for _, a := range []*wire.ApplyFleet{
@@ -67,7 +66,7 @@
 	}
 }
 
-func TestSnapshotHoldsEverything(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	st := state.New()
 	apply(st, 1, "anna")
@@ -79,15 +78,14 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		st.Apply(&wire.Entry{Index: st.Index + 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 	}
-	g.Expect(st.Epochs).To(HaveLen(1), "a box that leaves guards no keys")
+	g.Expect(st.Epochs).To(HaveLen(1), "a draining box is no claim replica")
 	again, err := state.Decode(st.Encode())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(proto.Equal(again.Encode(), st.Encode())).To(BeTrue())
 }
 
-// TestMovesAreWhatComesBehindTheFirstPlacement counts loads of a model that is to
-// have two copies.
-func TestMovesAreWhatComesBehindTheFirstPlacement(t *testing.T) {
+// TestMovesExcludeFirstPlacement counts the loads of a model for which the file asks for two copies.
+func TestMovesExcludeFirstPlacement(t *testing.T) {
 	g := NewWithT(t)
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\nchecks-fences = true\n[model m]\nversion = 1\nmemory = 1MiB\nclass = c\ncopies = 2\n"
 	for _, name := range []string{"s0", "s1", "s2"} {
@@ -109,17 +107,17 @@
 	}{
 		{wire.OrderAction_ORDER_LOAD, "s0", 0},
 		{wire.OrderAction_ORDER_LOAD, "s1", 0},
-		{wire.OrderAction_ORDER_LOAD, "s2", 1}, // more than the file asks for
+		{wire.OrderAction_ORDER_LOAD, "s2", 1}, // more copies than the file asks for
 		{wire.OrderAction_ORDER_UNLOAD, "s0", 1},
 		{wire.OrderAction_ORDER_UNLOAD, "s1", 1},
-		{wire.OrderAction_ORDER_LOAD, "s0", 2}, // a copy that it had before
+		{wire.OrderAction_ORDER_LOAD, "s0", 2}, // a copy beyond the first placement: the model had two before
 	} {
 		order(row.action, row.server)
 		g.Expect(st.Moves).To(Equal(row.moves), "%+v", row)
 	}
 }
 
-func TestUnreadableEntryChangesNothing(t *testing.T) {
+func TestMalformedEntryChangesNothing(t *testing.T) {
 	g := NewWithT(t)
 	st := state.New()
 	r := st.Apply(&wire.Entry{Index: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: []byte{0xff}})
