--- a/ledger/orders.go
+++ b/ledger/orders.go
@@ -9,19 +9,19 @@
 	"leverdrum/wire"
 )
 
-// Orders are those that are open, found by id and by server.
+// Orders are the open orders, indexed by id and by server.
 type Orders struct {
 	byID     *cow.Map[uint64, *wire.Order]
 	byServer *cow.Map[serverOrder, *wire.Order]
 }
 
-// serverOrder names an order of a server.
+// serverOrder identifies an order of a server.
 type serverOrder struct {
 	server string
 	id     uint64
 }
 
-// NewOrders returns none.
+// NewOrders returns an empty set of orders.
 func NewOrders() *Orders {
 	byServer := func(a, b serverOrder) int {
 		return cmp.Or(strings.Compare(a.server, b.server), cmp.Compare(a.id, b.id))
@@ -29,7 +29,7 @@
 	return &Orders{cow.New[uint64, *wire.Order](), cow.NewFunc[serverOrder, *wire.Order](byServer)}
 }
 
-// Get returns an open order, nil where none has the id.
+// Get returns an open order, or nil.
 func (o *Orders) Get(id uint64) *wire.Order { return o.byID.Get(id) }
 
 // Set opens an order.
@@ -47,13 +47,13 @@
 	}
 }
 
-// Len returns how many are open.
+// Len returns the number of open orders.
 func (o *Orders) Len() int { return o.byID.Len() }
 
-// All goes over the open orders by id.
+// All iterates over the open orders in the order of ids.
 func (o *Orders) All() iter.Seq2[uint64, *wire.Order] { return o.byID.All() }
 
-// ByServer goes over the open orders to a server.
+// ByServer iterates over the open orders to a server.
 func (o *Orders) ByServer(server string) iter.Seq[*wire.Order] {
 	return func(yield func(*wire.Order) bool) {
 		for key, order := range o.byServer.From(serverOrder{server: server}) {
--- a/ledger/residents.go
+++ b/ledger/residents.go
@@ -10,19 +10,19 @@
 	"leverdrum/wire"
 )
 
-// Residents are what stands where, found by server and by item. What stands at a place names it: there is no key beside it,
-// since a box of a large fleet holds tens of thousands.
+// Residents are the resident items, indexed by server and by item. An entry contains its location, and no separate key is
+// stored: a box of a large fleet holds tens of thousands of entries.
 type Residents struct {
-	// shelves are what stands on each server, in the order of places. They are replaced, not changed.
-	shelves *cow.Map[string, []*wire.Resident]
-	items   *cow.Map[itemKey, *cow.Map[copyKey, *wire.Resident]]
-	count   int
+	// byServer holds the items on each server, sorted by location. The slices are replaced, never modified.
+	byServer *cow.Map[string, []*wire.Resident]
+	byItem   *cow.Map[itemKey, *cow.Map[copyKey, *wire.Resident]]
+	count    int
 }
 
-// itemKey names a model, or an adapter of it, in whatever version.
+// itemKey identifies a model, or an adapter of it, in any version.
 type itemKey struct{ model, adapter string }
 
-// copyKey names a copy of an item.
+// copyKey identifies a copy of an item.
 type copyKey struct {
 	server      string
 	accelerator uint32
@@ -40,7 +40,7 @@
 	return cmp.Or(cmp.Compare(a.accelerator, b.accelerator), strings.Compare(a.version, b.version))
 }
 
-// CompareLocations orders places by server first.
+// CompareLocations compares locations by server, then accelerator, model, adapter and version.
 func CompareLocations(a, b Location) int {
 	if c := strings.Compare(a.Server, b.Server); c != 0 {
 		return c
@@ -51,76 +51,76 @@
 	return cmp.Or(strings.Compare(a.Model, b.Model), strings.Compare(a.Adapter, b.Adapter), strings.Compare(a.Version, b.Version))
 }
 
-// NewResidents returns none.
+// NewResidents returns an empty set of residents.
 func NewResidents() *Residents {
-	return &Residents{shelves: cow.New[string, []*wire.Resident](), items: cow.NewFunc[itemKey, *cow.Map[copyKey, *wire.Resident]](compareItems)}
+	return &Residents{byServer: cow.New[string, []*wire.Resident](), byItem: cow.NewFunc[itemKey, *cow.Map[copyKey, *wire.Resident]](compareItems)}
 }
 
-// find returns where a place is, or would be, on a shelf.
-func find(shelf []*wire.Resident, p Location) (int, bool) {
-	return slices.BinarySearchFunc(shelf, p, func(r *wire.Resident, p Location) int { return CompareLocations(ResidentLocation(r), p) })
+// find returns the index of a location in the sorted items of its server, or where to insert it.
+func find(entries []*wire.Resident, p Location) (int, bool) {
+	return slices.BinarySearchFunc(entries, p, func(r *wire.Resident, p Location) int { return CompareLocations(ResidentLocation(r), p) })
 }
 
-// Get returns what stands at a place, nil for nothing.
+// Get returns the item at a location, or nil.
 func (r *Residents) Get(p Location) *wire.Resident {
-	shelf := r.shelves.Get(p.Server)
-	if i, ok := find(shelf, p); ok {
-		return shelf[i]
+	entries := r.byServer.Get(p.Server)
+	if i, ok := find(entries, p); ok {
+		return entries[i]
 	}
 	return nil
 }
 
-// Put puts an item at its place.
+// Put stores an item at its location.
 func (r *Residents) Put(resident *wire.Resident) {
 	p := ResidentLocation(resident)
-	shelf := slices.Clone(r.shelves.Get(p.Server))
-	if i, ok := find(shelf, p); ok {
-		shelf[i] = resident
+	entries := slices.Clone(r.byServer.Get(p.Server))
+	if i, ok := find(entries, p); ok {
+		entries[i] = resident
 	} else {
-		shelf = slices.Insert(shelf, i, resident)
+		entries = slices.Insert(entries, i, resident)
 		r.count++
 	}
-	r.shelves.Set(p.Server, slices.Clip(shelf))
+	r.byServer.Set(p.Server, slices.Clip(entries))
 	key := itemKey{p.Model, p.Adapter}
 	copies := cow.NewFunc[copyKey, *wire.Resident](compareCopies)
-	if known := r.items.Get(key); known != nil {
+	if known := r.byItem.Get(key); known != nil {
 		copies = known.Clone()
 	}
 	copies.Set(copyKey{p.Server, p.Accelerator, p.Version}, resident)
-	r.items.Set(key, copies)
+	r.byItem.Set(key, copies)
 }
 
-// Delete clears a place.
+// Delete removes the item at a location.
 func (r *Residents) Delete(p Location) {
-	shelf := r.shelves.Get(p.Server)
-	i, ok := find(shelf, p)
+	entries := r.byServer.Get(p.Server)
+	i, ok := find(entries, p)
 	if !ok {
 		return
 	}
 	r.count--
-	if len(shelf) == 1 {
-		r.shelves.Delete(p.Server)
+	if len(entries) == 1 {
+		r.byServer.Delete(p.Server)
 	} else {
-		r.shelves.Set(p.Server, slices.Delete(slices.Clone(shelf), i, i+1))
+		r.byServer.Set(p.Server, slices.Delete(slices.Clone(entries), i, i+1))
 	}
 	key := itemKey{p.Model, p.Adapter}
-	copies := r.items.Get(key).Clone()
+	copies := r.byItem.Get(key).Clone()
 	copies.Delete(copyKey{p.Server, p.Accelerator, p.Version})
 	if copies.Len() == 0 {
-		r.items.Delete(key)
+		r.byItem.Delete(key)
 		return
 	}
-	r.items.Set(key, copies)
+	r.byItem.Set(key, copies)
 }
 
-// Len returns how many there are.
+// Len returns the number of resident items.
 func (r *Residents) Len() int { return r.count }
 
-// All goes over them in the order of places.
+// All iterates over the items in the order of locations.
 func (r *Residents) All() iter.Seq2[Location, *wire.Resident] {
 	return func(yield func(Location, *wire.Resident) bool) {
-		for _, shelf := range r.shelves.All() {
-			for _, resident := range shelf {
+		for _, entries := range r.byServer.All() {
+			for _, resident := range entries {
 				if !yield(ResidentLocation(resident), resident) {
 					return
 				}
@@ -129,10 +129,10 @@
 	}
 }
 
-// ByServer goes over what stands on a server.
+// ByServer iterates over the items on a server.
 func (r *Residents) ByServer(server string) iter.Seq2[Location, *wire.Resident] {
 	return func(yield func(Location, *wire.Resident) bool) {
-		for _, resident := range r.shelves.Get(server) {
+		for _, resident := range r.byServer.Get(server) {
 			if !yield(ResidentLocation(resident), resident) {
 				return
 			}
@@ -140,10 +140,10 @@
 	}
 }
 
-// ByItem goes over the places of a model, or of an adapter of it, in whatever version, by server.
+// ByItem iterates over the copies of a model, or of an adapter of it, in any version, ordered by server.
 func (r *Residents) ByItem(model, adapter string) iter.Seq2[Location, *wire.Resident] {
 	return func(yield func(Location, *wire.Resident) bool) {
-		copies := r.items.Get(itemKey{model, adapter})
+		copies := r.byItem.Get(itemKey{model, adapter})
 		if copies == nil {
 			return
 		}
@@ -155,10 +155,10 @@
 	}
 }
 
-// Clear clears the places of a server for which a condition holds; nil: all of them.
-func (r *Residents) Clear(server string, which func(Location) bool) {
-	for _, resident := range r.shelves.Get(server) {
-		if p := ResidentLocation(resident); which == nil || which(p) {
+// Clear removes the items of a server for which match returns true, or all of them if match is nil.
+func (r *Residents) Clear(server string, match func(Location) bool) {
+	for _, resident := range r.byServer.Get(server) {
+		if p := ResidentLocation(resident); match == nil || match(p) {
 			r.Delete(p)
 		}
 	}
@@ -166,5 +166,5 @@
 
 // Clone returns a copy that does not change with the original.
 func (r *Residents) Clone() *Residents {
-	return &Residents{r.shelves.Clone(), r.items.Clone(), r.count}
+	return &Residents{r.byServer.Clone(), r.byItem.Clone(), r.count}
 }
--- a/ledger/residents_test.go
+++ b/ledger/residents_test.go
@@ -11,8 +11,9 @@
 	"leverdrum/wire"
 )
 
-// Whatever is put and cleared, what is found by place, by server and by item is the same, and clones keep theirs.
-func TestResidentsAreFoundEachWay(t *testing.T) {
+// After any sequence of changes, lookups by location, by server and by item must agree, and clones must keep their own
+// contents.
+func TestResidentsIndexesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type one struct {
 			have *ledger.Residents
