--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,29 +1,24 @@
-// Package claim guards keyed calls that may run at most once. A claim is a
-// write-once register on three boxes that the key chooses; a call goes out only
-// once two of them have granted it.
+// Package claim ensures that a keyed call runs at most once. A claim is a write-once register, replicated on three boxes
+// chosen by the key. A call is sent only after two of them granted its claim.
 //
 // Rules:
 //
-//  1. Keys fall into slots. A slot's holders in an epoch of the list of boxes
-//     are the three processes with the highest hash of slot and process
-//     (rendezvous), so that few slots change holders when the list changes;
-//     they stand in different data halls as far as there are any. Processes
-//     that leave hold nothing.
-//  2. A holder grants a claim only in the epoch that it is in, only when it is
-//     ready in it, and only when it holds no claim of another attempt under the
-//     key. It may then repeat the grant to the same attempt.
-//  3. An attempt may call once a majority of an epoch's holders granted it in
-//     that epoch. Two majorities share a holder, so one attempt a key calls.
-//  4. When the epoch changes, a holder that stays is ready in the new one at
-//     once. A new holder first takes over the slot from a majority of the
-//     holders of the epoch before, each of which was ready then and has left
-//     that epoch, so that it grants nothing in it any more. So each majority
-//     of the new holders knows every claim that was granted.
-//  5. A process that restarts has lost its claims; it is another holder.
-//  6. An attempt that has not called and never will releases its claim. A claim
-//     whose attempt died stays: what became of the call is unknown.
-//  7. Claims end by age. A new holder that finds no majority to take over from
-//     waits for that age and is ready then.
+//  1. Each key maps to a slot. The holders of a slot in an epoch of the list of boxes are the three processes with the
+//     highest hash of slot and process (rendezvous hashing), so that few slots change holders when the list changes. They
+//     are in different data halls if there are enough of them. Draining processes hold no slots.
+//  2. A holder grants a claim only in its current epoch, only when it is ready in that epoch, and only when it stores no
+//     claim of another attempt under the key. It may repeat the grant to the same attempt.
+//  3. An attempt may call once a majority of an epoch's holders granted its claim in that epoch. Two majorities share a
+//     holder, so only one attempt per key calls.
+//  4. When the epoch changes, a holder that remains one is ready in the new epoch at once. A new holder first transfers
+//     the claims of the slot from a majority of the previous epoch's holders. Each of these must have been ready in that
+//     epoch and must have left it, so that it grants nothing in it any more. So every majority of the new holders knows
+//     every claim that was granted.
+//  5. A process that restarts has lost its claims and counts as a different holder.
+//  6. An attempt that has not called, and never will, releases its claim. The claim of an attempt that died is kept: the
+//     outcome of its call is unknown.
+//  7. Claims expire after TTL. A new holder that finds no majority to transfer claims from waits for TTL and is ready
+//     then.
 package claim
 
 import (
@@ -37,34 +32,33 @@
 )
 
 const (
-	// Slots is the count of slots.
+	// Slots is the number of slots.
 	Slots = 64
-	// holdersPerSlot is how many boxes guard a slot (1).
+	// holdersPerSlot is the number of holders of a slot (1).
 	holdersPerSlot = 3
-	// TTL is how long a claim and its answer are kept (7). It is far above the
-	// deadline of any class. After all holders of a slot were lost at once, its
-	// keys are refused for so long.
+	// TTL is how long a claim and its result are kept (7). It is far above the deadline of every class. If all holders
+	// of a slot are lost at once, its keys are refused for this duration.
 	TTL = 5 * time.Minute
 )
 
-// Verdict is a holder's word on a claim.
+// Verdict is the kind of a holder's answer to a claim.
 type Verdict string
 
-// The verdicts.
+// The kinds of a holder's answers.
 const (
-	// Granted: the holder guards the key for this attempt.
+	// Granted: the holder stores the claim of this attempt.
 	Granted Verdict = "granted"
-	// Taken: another attempt holds the key; its result comes along if known.
+	// Taken: another attempt has claimed the key. Its result is included if known.
 	Taken Verdict = "taken"
-	// OtherCall: the key was used with another call.
+	// OtherCall: the key was used with a different call.
 	OtherCall Verdict = "other-call"
-	// OtherEpoch: the asker has another list of boxes than the holder.
+	// OtherEpoch: the caller and the holder are in different epochs.
 	OtherEpoch Verdict = "other-epoch"
-	// NotReady: the holder is still taking the slot over.
+	// NotReady: the holder is still transferring the claims of the slot.
 	NotReady Verdict = "not-ready"
 )
 
-// Result is how a claimed call ended.
+// Result is the result of a claimed call.
 type Result struct {
 	// Outcome is done, failed or unknown.
 	Outcome string
@@ -73,13 +67,13 @@
 	Body    []byte
 }
 
-// Claim is one attempt's hold on a key.
+// Claim reserves a key for one attempt.
 type Claim struct {
 	Key     string
 	Attempt string
-	// Digest names the call: its method, path and body.
+	// Digest identifies the call by its method, path and body.
 	Digest []byte
-	// CreatedAt is when the claim was made, on the clock of the table that holds it.
+	// CreatedAt is when the claim was made, on the clock of the table that stores it.
 	CreatedAt time.Duration
 	Result    *Result
 }
@@ -88,18 +82,18 @@
 type Answer struct {
 	Verdict Verdict
 	Epoch   uint64
-	// Conflict is the claim that stands against it, for Taken and OtherCall.
+	// Conflict is the existing claim that prevents the grant, for Taken and OtherCall.
 	Conflict *Claim
 }
 
 // Process is one run of a box.
 type Process struct {
-	// ID is unlike that of all other runs of all boxes.
+	// ID is unique among all runs of all boxes.
 	ID   string
 	Hall string
 }
 
-// Epoch is one list of the processes that may hold claims.
+// Epoch is one list of the processes that may hold slots.
 type Epoch struct {
 	Number    uint64
 	Processes []Process
@@ -110,16 +104,16 @@
 
 // Holders returns the holders of a slot in an epoch (1).
 func (e *Epoch) Holders(slot int) []string {
-	type weighed struct {
+	type weighted struct {
 		Process
 		weight uint64
 	}
-	list := make([]weighed, 0, len(e.Processes))
+	list := make([]weighted, 0, len(e.Processes))
 	prefix := strconv.Itoa(slot) + "/"
 	for _, p := range e.Processes {
-		list = append(list, weighed{p, xxhash.Sum64String(prefix + p.ID)})
+		list = append(list, weighted{p, xxhash.Sum64String(prefix + p.ID)})
 	}
-	slices.SortFunc(list, func(a, b weighed) int {
+	slices.SortFunc(list, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.ID, b.ID))
 	})
 	var holders, halls []string
@@ -133,23 +127,23 @@
 	return holders
 }
 
-// Majority returns how many of n holders must grant.
+// Majority returns how many of n holders must grant a claim.
 func Majority(n int) int { return n/2 + 1 }
 
-// slot is what one box holds of a slot.
+// slot is the part of a slot's state that one box stores.
 type slot struct {
 	claims map[string][]*Claim // by key
 	// ready is the newest epoch in which this box was ready (2).
 	ready uint64
-	// pulled are the holders of the epoch before that have handed over.
+	// pulled are the holders of the previous epoch whose claims were transferred.
 	pulled map[string]bool
-	// pulling is the epoch that the handing over is for.
-	pulling uint64
-	since   time.Duration // when the pulling began
+	// pulling is the epoch for which claims are being transferred.
+	pulling       uint64
+	pullStartedAt time.Duration // when the transfer began
 }
 
-// Table is one box's claims. It is not safe for concurrent use; time is passed
-// in, on one monotonic clock.
+// Table stores the claims of one box. It is not safe for concurrent use. Times are passed in by the caller, on one
+// monotonic clock.
 type Table struct {
 	self   string
 	epochs []Epoch // oldest first
@@ -165,7 +159,7 @@
 	return t
 }
 
-// Current returns the epoch that the box is in, nil before the first.
+// Current returns the current epoch of the box, or nil before the first.
 func (t *Table) Current() *Epoch {
 	if len(t.epochs) == 0 {
 		return nil
@@ -182,8 +176,8 @@
 	return nil
 }
 
-// AdvanceEpoch takes over the newest epochs, oldest first, the last of which is the
-// one to be in. It never goes back.
+// AdvanceEpoch sets the newest epochs, oldest first, and makes the last one current. It ignores lists that do not end in
+// a newer epoch than the current one.
 func (t *Table) AdvanceEpoch(now time.Duration, epochs []Epoch) {
 	if len(epochs) == 0 || t.Current() != nil && epochs[len(epochs)-1].Number <= t.Current().Number {
 		return
@@ -196,31 +190,31 @@
 	for s := range t.slots {
 		for _, e := range epochs {
 			if e.Number > before {
-				t.step(now, s, e.Number)
+				t.advanceSlot(now, s, e.Number)
 			}
 		}
 	}
 }
 
-// step is rule 4 for one slot and one change.
-func (t *Table) step(now time.Duration, s int, to uint64) {
+// advanceSlot implements rule 4 for one slot and one change of the epoch.
+func (t *Table) advanceSlot(now time.Duration, s int, to uint64) {
 	sl := &t.slots[s]
 	if !slices.Contains(t.epoch(to).Holders(s), t.self) {
 		return
 	}
 	previous := t.epoch(to - 1)
-	was := previous != nil && slices.Contains(previous.Holders(s), t.self)
+	wasHolder := previous != nil && slices.Contains(previous.Holders(s), t.self)
 	switch {
-	case to == 1, was && sl.ready == to-1:
+	case to == 1, wasHolder && sl.ready == to-1:
 		sl.ready = to
 		return
-	case was && sl.pulling > sl.ready:
-		return // becomeReady goes on from the epoch that is being pulled for
+	case wasHolder && sl.pulling > sl.ready:
+		return // becomeReady continues from the epoch being transferred
 	}
-	sl.pulling, sl.pulled, sl.since = to, map[string]bool{}, now
+	sl.pulling, sl.pulled, sl.pullStartedAt = to, map[string]bool{}, now
 }
 
-// Holds reports whether the box is a holder of the slot now, and ready (2).
+// Holds reports whether the box currently holds the slot, and whether it is ready (2).
 func (t *Table) Holds(s int) (holder, ready bool) {
 	c := t.Current()
 	if c == nil || !slices.Contains(c.Holders(s), t.self) {
@@ -233,36 +227,36 @@
 func (t *Table) Acquire(now time.Duration, key, attempt string, digest []byte, epoch uint64) Answer {
 	c := t.Current()
 	if c == nil || c.Number != epoch {
-		return Answer{Verdict: OtherEpoch, Epoch: numberOf(c)}
+		return Answer{Verdict: OtherEpoch, Epoch: epochNumber(c)}
 	}
 	s := SlotOf(key)
 	if _, ready := t.Holds(s); !ready {
 		return Answer{Verdict: NotReady, Epoch: c.Number}
 	}
-	standing := t.live(now, s, key)
-	for _, other := range standing {
+	existing := t.unexpired(now, s, key)
+	for _, other := range existing {
 		switch {
 		case !bytes.Equal(other.Digest, digest):
 			return Answer{Verdict: OtherCall, Epoch: c.Number, Conflict: other}
 		case other.Attempt != attempt:
-			return Answer{Verdict: Taken, Epoch: c.Number, Conflict: t.best(now, s, key)}
+			return Answer{Verdict: Taken, Epoch: c.Number, Conflict: t.mostInformative(now, s, key)}
 		}
 	}
-	if len(standing) == 0 {
+	if len(existing) == 0 {
 		t.slots[s].claims[key] = []*Claim{{Key: key, Attempt: attempt, Digest: digest, CreatedAt: now}}
 	}
 	return Answer{Verdict: Granted, Epoch: c.Number}
 }
 
-func numberOf(e *Epoch) uint64 {
+func epochNumber(e *Epoch) uint64 {
 	if e == nil {
 		return 0
 	}
 	return e.Number
 }
 
-// live returns the claims under a key that have not ended by age (7).
-func (t *Table) live(now time.Duration, s int, key string) []*Claim {
+// unexpired returns the claims under a key that have not expired (7), and deletes the others.
+func (t *Table) unexpired(now time.Duration, s int, key string) []*Claim {
 	list := slices.DeleteFunc(t.slots[s].claims[key], func(c *Claim) bool { return now-c.CreatedAt > TTL })
 	if len(list) == 0 {
 		delete(t.slots[s].claims, key)
@@ -272,9 +266,9 @@
 	return list
 }
 
-// best returns the claim that tells most: one with a result.
-func (t *Table) best(now time.Duration, s int, key string) *Claim {
-	list := t.live(now, s, key)
+// mostInformative returns a claim with a result if there is one, and any claim otherwise.
+func (t *Table) mostInformative(now time.Duration, s int, key string) *Claim {
+	list := t.unexpired(now, s, key)
 	for _, c := range list {
 		if c.Result != nil {
 			return c
@@ -283,7 +277,7 @@
 	return list[0]
 }
 
-// Release drops an attempt's claim that has not called (6).
+// Release deletes the claim of an attempt that has not called (6).
 func (t *Table) Release(key, attempt string) {
 	s := SlotOf(key)
 	t.slots[s].claims[key] = slices.DeleteFunc(t.slots[s].claims[key], func(c *Claim) bool {
@@ -294,7 +288,7 @@
 	}
 }
 
-// RecordResult keeps how an attempt's call ended, for those who ask later.
+// RecordResult stores the result of an attempt's call for later callers with the same key.
 func (t *Table) RecordResult(now time.Duration, key, attempt string, digest []byte, r *Result) {
 	s := SlotOf(key)
 	for i, c := range t.slots[s].claims[key] {
@@ -308,14 +302,14 @@
 	t.slots[s].claims[key] = append(t.slots[s].claims[key], &Claim{Key: key, Attempt: attempt, Digest: digest, CreatedAt: now, Result: r})
 }
 
-// Pull is a request for what a holder of an earlier epoch knows of a slot.
+// Pull requests the claims of a slot from the holders of an earlier epoch.
 type Pull struct {
 	Slot  int
-	Epoch uint64 // in which the asked box was a holder
+	Epoch uint64 // the epoch in which the requested boxes were holders
 	From  []string
 }
 
-// PendingPulls returns what this box still has to ask for, and ends the waits of rule 7.
+// PendingPulls returns the transfers that this box still has to request, and ends the waits of rule 7.
 func (t *Table) PendingPulls(now time.Duration) []Pull {
 	var list []Pull
 	for s := range t.slots {
@@ -323,7 +317,7 @@
 		if sl.pulling == 0 || sl.ready >= sl.pulling {
 			continue
 		}
-		if now-sl.since > TTL { // (7)
+		if now-sl.pullStartedAt > TTL { // (7)
 			t.becomeReady(s)
 			continue
 		}
@@ -337,21 +331,21 @@
 	return list
 }
 
-// ExportClaims answers a pull: the claims of a slot, or false when this box was not
-// ready in that epoch or is still in it (4).
+// ExportClaims answers a pull with the claims of a slot. It returns false if this box was not ready in that epoch or is
+// still in it (4).
 func (t *Table) ExportClaims(now time.Duration, s int, epoch uint64) ([]*Claim, bool) {
-	if s < 0 || s >= Slots || numberOf(t.Current()) <= epoch || t.slots[s].ready < epoch {
+	if s < 0 || s >= Slots || epochNumber(t.Current()) <= epoch || t.slots[s].ready < epoch {
 		return nil, false
 	}
 	var list []*Claim
 	for key := range t.slots[s].claims {
-		list = append(list, t.live(now, s, key)...)
+		list = append(list, t.unexpired(now, s, key)...)
 	}
 	return list, true
 }
 
-// ImportClaims adds what a holder of the epoch before handed over (4). The claims'
-// Began is on this box's clock.
+// ImportClaims adds the claims received from a holder of the previous epoch (4). Their CreatedAt must be on this box's
+// clock.
 func (t *Table) ImportClaims(s int, epoch uint64, from string, claims []*Claim) {
 	sl := &t.slots[s]
 	previous := t.epoch(epoch)
@@ -367,8 +361,7 @@
 	}
 }
 
-// add merges a claim: attempts stand beside each other, and a known result is
-// kept.
+// add merges a claim: claims of different attempts are kept side by side, and a known result is never overwritten.
 func (sl *slot) add(c *Claim) {
 	for i, old := range sl.claims[c.Key] {
 		if old.Attempt != c.Attempt {
@@ -382,8 +375,7 @@
 	sl.claims[c.Key] = append(sl.claims[c.Key], c)
 }
 
-// becomeReady ends the pulling, and goes on through later epochs in which the
-// box stayed a holder.
+// becomeReady ends a transfer, and continues through later epochs in which the box remained a holder.
 func (t *Table) becomeReady(s int) {
 	sl := &t.slots[s]
 	sl.ready = sl.pulling
@@ -396,12 +388,12 @@
 	}
 }
 
-// Sweep drops claims that ended by age, and returns how many are left.
+// Sweep deletes expired claims and returns the number of the remaining ones.
 func (t *Table) Sweep(now time.Duration) int {
 	count := 0
 	for s := range t.slots {
 		for key := range t.slots[s].claims {
-			count += len(t.live(now, s, key))
+			count += len(t.unexpired(now, s, key))
 		}
 	}
 	return count
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -22,13 +22,13 @@
 // attempt is one arrival of a keyed call at a box.
 type attempt struct {
 	name, key string
-	epoch     uint64 // of the grants
+	epoch     uint64 // epoch of the grants
 	grants    map[string]bool
 	ended     bool
 }
 
-// world is a set of boxes that learn of new epochs at different times.
-type world struct {
+// simulation is a set of boxes that learn of new epochs at different times.
+type simulation struct {
 	t        *rapid.T
 	now      time.Duration
 	tables   map[string]*claim.Table // by process
@@ -36,14 +36,14 @@
 	epochs   []claim.Epoch
 	attempts []*attempt
 	calls    map[string]string // key to the attempt that called
-	began    map[string]time.Duration
+	calledAt map[string]time.Duration
 	count    int
 	called   int
 }
 
-const history = 12
+const maxEpochs = 12
 
-func (w *world) publish() {
+func (w *simulation) publish() {
 	var list []claim.Process
 	for i, p := range w.boxes {
 		if p != "" {
@@ -53,13 +53,12 @@
 	w.epochs = append(w.epochs, claim.Epoch{Number: uint64(len(w.epochs) + 1), Processes: list})
 }
 
-func (w *world) newest() []claim.Epoch {
-	return slices.Clone(w.epochs[max(0, len(w.epochs)-history):])
+func (w *simulation) newest() []claim.Epoch {
+	return slices.Clone(w.epochs[max(0, len(w.epochs)-maxEpochs):])
 }
 
-// restart gives a box a new process, which the list shows at once or after its
-// old one was taken off.
-func (w *world) restart(i int) {
+// restart gives a box a new process. The list of boxes shows it at once, or after the old process was removed.
+func (w *simulation) restart(i int) {
 	if w.boxes[i] != "" {
 		delete(w.tables, w.boxes[i])
 	}
@@ -69,12 +68,12 @@
 	w.publish()
 }
 
-func (w *world) box(label string) string {
+func (w *simulation) box(label string) string {
 	return rapid.SampledFrom(slices.DeleteFunc(slices.Clone(w.boxes), func(p string) bool { return p == "" })).Draw(w.t, label)
 }
 
-// ask lets an attempt ask one holder of the epoch that some box is in.
-func (w *world) ask(a *attempt) {
+// acquire sends an attempt's claim to one holder of the epoch that some box is in.
+func (w *simulation) acquire(a *attempt) {
 	c := w.tables[w.box("asker")].Current()
 	if c == nil || a.ended {
 		return
@@ -97,12 +96,12 @@
 	}
 }
 
-// call is what must happen at most once a key, while its claim lives.
-func (w *world) call(a *attempt, holders []string) {
-	if other, ok := w.calls[a.key]; ok && w.now-w.began[a.key] <= claim.TTL {
+// call checks that each key is called at most once during the TTL of its claim.
+func (w *simulation) call(a *attempt, holders []string) {
+	if other, ok := w.calls[a.key]; ok && w.now-w.calledAt[a.key] <= claim.TTL {
 		w.t.Fatalf("key %s was called by %s and by %s", a.key, other, a.name)
 	}
-	w.calls[a.key], w.began[a.key] = a.name, w.now
+	w.calls[a.key], w.calledAt[a.key] = a.name, w.now
 	w.called++
 	if rapid.Bool().Draw(w.t, "answered") {
 		for _, h := range holders {
@@ -113,8 +112,8 @@
 	}
 }
 
-// pull lets a box take over something.
-func (w *world) pull(process string) {
+// pull transfers claims of one slot from one holder to a box.
+func (w *simulation) pull(process string) {
 	table := w.tables[process]
 	pulls := table.PendingPulls(w.now)
 	if len(pulls) == 0 {
@@ -124,10 +123,10 @@
 	if len(p.From) == 0 {
 		return
 	}
-	w.takeOver(table, p, rapid.SampledFrom(p.From).Draw(w.t, "from"))
+	w.transfer(table, p, rapid.SampledFrom(p.From).Draw(w.t, "from"))
 }
 
-func (w *world) takeOver(table *claim.Table, p claim.Pull, from string) {
+func (w *simulation) transfer(table *claim.Table, p claim.Pull, from string) {
 	if source := w.tables[from]; source != nil {
 		if claims, ok := source.ExportClaims(w.now, p.Slot, p.Epoch); ok {
 			table.ImportClaims(p.Slot, p.Epoch, from, claims)
@@ -135,7 +134,7 @@
 	}
 }
 
-func (w *world) settle() {
+func (w *simulation) settle() {
 	for range 3 {
 		for _, p := range w.boxes {
 			if p == "" {
@@ -144,14 +143,14 @@
 			w.tables[p].AdvanceEpoch(w.now, w.newest())
 			for _, pull := range w.tables[p].PendingPulls(w.now) {
 				for _, from := range pull.From {
-					w.takeOver(w.tables[p], pull, from)
+					w.transfer(w.tables[p], pull, from)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	switch rapid.IntRange(0, 13).Draw(w.t, "action") {
 	case 0:
 		w.count++
@@ -159,7 +158,7 @@
 		w.attempts = append(w.attempts, &attempt{name: fmt.Sprint("attempt", w.count), key: key})
 	case 1, 2, 3, 4, 5, 6:
 		if len(w.attempts) > 0 {
-			w.ask(rapid.SampledFrom(w.attempts[max(0, len(w.attempts)-8):]).Draw(w.t, "attempt"))
+			w.acquire(rapid.SampledFrom(w.attempts[max(0, len(w.attempts)-8):]).Draw(w.t, "attempt"))
 		}
 	case 7, 8:
 		w.tables[w.box("entering")].AdvanceEpoch(w.now, w.newest())
@@ -185,12 +184,12 @@
 	}
 }
 
-// TestAtMostOneCallAKey has attempts at few keys race through boxes that
-// restart and learn of it at different times.
-func TestAtMostOneCallAKey(t *testing.T) {
+// TestAtMostOneCallPerKey runs concurrent attempts at few keys on boxes that restart and learn of restarts at different
+// times.
+func TestAtMostOneCallPerKey(t *testing.T) {
 	called := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{t: rt, tables: map[string]*claim.Table{}, boxes: make([]string, 5), calls: map[string]string{}, began: map[string]time.Duration{}}
+		w := &simulation{t: rt, tables: map[string]*claim.Table{}, boxes: make([]string, 5), calls: map[string]string{}, calledAt: map[string]time.Duration{}}
 		for i := range w.boxes {
 			w.restart(i)
 			w.settle()
@@ -200,21 +199,21 @@
 		}
 		called += w.called
 	})
-	NewWithT(t).Expect(called).To(BeNumerically(">", 500), "the runs must call, or they prove nothing")
+	NewWithT(t).Expect(called).To(BeNumerically(">", 500), "the test is meaningless if few attempts reach their call")
 }
 
-// TestRollingRestartKeepsClaims restarts all boxes one after another: the claim
-// and its answer outlive every box that held it first.
+// TestRollingRestartKeepsClaims restarts all boxes one after another: the claim and its result must survive every box
+// that stored it first.
 func TestRollingRestartKeepsClaims(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
-		w := &world{t: rt, tables: map[string]*claim.Table{}, boxes: make([]string, 5), calls: map[string]string{}, began: map[string]time.Duration{}}
+		w := &simulation{t: rt, tables: map[string]*claim.Table{}, boxes: make([]string, 5), calls: map[string]string{}, calledAt: map[string]time.Duration{}}
 		for i := range w.boxes {
 			w.restart(i)
 			w.settle()
 		}
 		key := rapid.String().Draw(rt, "key")
-		ask := func(attempt string) (granted int, result *claim.Result) {
+		acquire := func(attempt string) (granted int, result *claim.Result) {
 			c := w.tables[w.boxes[0]].Current()
 			for _, h := range c.Holders(claim.SlotOf(key)) {
 				a := w.tables[h].Acquire(w.now, key, attempt, []byte("call"), c.Number)
@@ -227,10 +226,10 @@
 			}
 			return granted, result
 		}
-		granted, _ := ask("first")
+		granted, _ := acquire("first")
 		g.Expect(granted).To(Equal(3))
 		for i := range w.boxes {
-			// A planned stop takes the box off the list while it still answers.
+			// A planned stop removes the box from the list while the box still answers.
 			old := w.boxes[i]
 			w.boxes[i] = ""
 			w.publish()
@@ -240,13 +239,13 @@
 			delete(w.tables, old)
 			w.settle()
 		}
-		granted, result := ask("second")
+		granted, result := acquire("second")
 		g.Expect(granted).To(BeZero())
 		g.Expect(string(result.Body)).To(Equal("first"))
 	})
 }
 
-func TestAnswers(t *testing.T) {
+func TestAcquireVerdicts(t *testing.T) {
 	g := NewWithT(t)
 	one := claim.Epoch{Number: 1, Processes: []claim.Process{{ID: "a"}}}
 	table := claim.NewTable("a")
@@ -254,7 +253,7 @@
 	table.AdvanceEpoch(0, []claim.Epoch{one})
 	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 2).Verdict).To(Equal(claim.OtherEpoch))
 	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted))
-	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted), "the same attempt may ask again")
+	g.Expect(table.Acquire(0, "k", "x", []byte("d"), 1).Verdict).To(Equal(claim.Granted), "the same attempt may claim again")
 	g.Expect(table.Acquire(0, "k", "y", []byte("d"), 1).Verdict).To(Equal(claim.Taken))
 	g.Expect(table.Acquire(0, "k", "y", []byte("e"), 1).Verdict).To(Equal(claim.OtherCall))
 	table.Release("k", "x")
@@ -262,14 +261,14 @@
 	table.RecordResult(0, "k", "y", []byte("e"), &claim.Result{Status: 200})
 	table.Release("k", "y")
 	a := table.Acquire(claim.TTL, "k", "z", []byte("e"), 1)
-	g.Expect(a.Verdict).To(Equal(claim.Taken), "a claim whose call ended is not released")
+	g.Expect(a.Verdict).To(Equal(claim.Taken), "a claim with a result is not released")
 	g.Expect(a.Conflict.Result.Status).To(Equal(200))
-	g.Expect(table.Acquire(claim.TTL+1, "k", "z", []byte("e"), 1).Verdict).To(Equal(claim.Granted), "it ends by age (7)")
+	g.Expect(table.Acquire(claim.TTL+1, "k", "z", []byte("e"), 1).Verdict).To(Equal(claim.Granted), "the claim expires (7)")
 }
 
-// TestLostSlotWaitsForAge loses all holders at once: the next ones grant nothing
-// until every claim that was lost has ended.
-func TestLostSlotWaitsForAge(t *testing.T) {
+// TestLostSlotWaitsForTTL loses all holders at once: the next holders must grant nothing until every lost claim has
+// expired.
+func TestLostSlotWaitsForTTL(t *testing.T) {
 	g := NewWithT(t)
 	epochs := []claim.Epoch{{Number: 1, Processes: []claim.Process{{ID: "a"}}}, {Number: 2, Processes: []claim.Process{{ID: "b"}}}}
 	table := claim.NewTable("b")
@@ -280,13 +279,13 @@
 	g.Expect(table.Acquire(claim.TTL+1, "k", "x", nil, 2).Verdict).To(Equal(claim.Granted))
 }
 
-func TestHandOverOnlyAfterLeavingTheEpoch(t *testing.T) {
+func TestExportClaimsRequiresLaterEpoch(t *testing.T) {
 	g := NewWithT(t)
 	one := claim.Epoch{Number: 1, Processes: []claim.Process{{ID: "a"}}}
 	table := claim.NewTable("a")
 	table.AdvanceEpoch(0, []claim.Epoch{one})
 	_, ok := table.ExportClaims(0, 0, 1)
-	g.Expect(ok).To(BeFalse(), "it may still grant in epoch 1 (4)")
+	g.Expect(ok).To(BeFalse(), "the table may still grant in epoch 1 (4)")
 	table.AdvanceEpoch(0, []claim.Epoch{one, {Number: 2, Processes: []claim.Process{{ID: "b"}}}})
 	_, ok = table.ExportClaims(0, 0, 1)
 	g.Expect(ok).To(BeTrue())
