--- a/box/apply_test.go
+++ b/box/apply_test.go
@@ -21,7 +21,7 @@
 )
 
 // onlyVoter is the storage of a leader without peers.
-type onlyVoter struct{ replica.Memory }
+type onlyVoter struct{ replica.MemoryStorage }
 
 func (onlyVoter) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
--- a/box/box.go
+++ b/box/box.go
@@ -293,7 +293,7 @@
 func (b *Box) assemble() (*parts, error) {
 	s := b.settings
 	self := b.id.Self()
-	var storage replica.Storage = replica.Memory{}
+	var storage replica.Storage = replica.MemoryStorage{}
 	if b.store != nil {
 		storage = b.store
 	}
--- a/box/lead.go
+++ b/box/lead.go
@@ -27,7 +27,7 @@
 
 func reasonOf(err error) *reason.Reason {
 	switch {
-	case errors.Is(err, replica.ErrFull):
+	case errors.Is(err, replica.ErrDiskFull):
 		return reason.DiskFull
 	case errors.Is(err, replica.ErrBusy):
 		return reason.Busy
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -97,8 +97,8 @@
 	Lease time.Duration
 	// Seed makes the draws of waits repeatable.
 	Seed uint64
-	// Agreed is an index that was known to be agreed before the node stopped.
-	Agreed uint64
+	// Committed is an index that was known to be agreed before the node stopped.
+	Committed uint64
 }
 
 // maxAppendBytes bounds the entries of one message.
@@ -129,8 +129,8 @@
 type Output struct {
 	// Snapshot replaces the whole log and state when set.
 	Snapshot *wire.Snapshot
-	// Hard is the term and vote, set when they changed.
-	Hard *wire.HardState
+	// HardState is the term and vote, set when they changed.
+	HardState *wire.HardState
 	// Entries replace the log from the index of the first on.
 	Entries []*wire.Entry
 	// Messages go out only after all of the above is durable.
@@ -189,7 +189,7 @@
 		learners: map[string]bool{},
 	}
 	n.log.init(snapshot, entries)
-	n.commit = max(n.log.snapshotIndex(), min(opts.Agreed, n.log.lastIndex()))
+	n.commit = max(n.log.snapshotIndex(), min(opts.Committed, n.log.lastIndex()))
 	n.heardLeader = now // (1.5)
 	n.resetDeadline()
 	return n
@@ -219,10 +219,10 @@
 // Commit returns the newest agreed index.
 func (n *Node) Commit() uint64 { return n.commit }
 
-// Agree takes it that entries up to an index are agreed, because a majority of the voters
+// MarkCommitted takes it that entries up to an index are agreed, because a majority of the voters
 // was seen to hold them in a term (2.3). It does nothing when this node is in another term
 // by now, or its own log ends in another one or earlier.
-func (n *Node) Agree(index, term uint64) {
+func (n *Node) MarkCommitted(index, term uint64) {
 	if n.term != term || n.log.lastTerm() != term || index > n.log.lastIndex() {
 		return
 	}
@@ -254,9 +254,9 @@
 // Established reports whether an entry of the leader's own term is agreed.
 func (n *Node) Established() bool { return n.role == Leader && n.commit >= n.termStart }
 
-// Heard returns how long ago the leader heard from a peer, and whether the
+// PeerStatus returns how long ago the leader heard from a peer, and whether the
 // peer holds everything that is agreed.
-func (n *Node) Heard(id string) (ago time.Duration, holdsAll bool) {
+func (n *Node) PeerStatus(id string) (ago time.Duration, holdsAll bool) {
 	if id == n.opts.ID {
 		return 0, true
 	}
@@ -267,9 +267,9 @@
 	return n.now - p.heard, p.match >= n.commit
 }
 
-// NeedsClock reports whether something will soon happen here with the time alone. To a member that
+// NeedsTicks reports whether something will soon happen here with the time alone. To a member that
 // does not vote nothing does, but that it forgets its leader (1.8), which has time.
-func (n *Node) NeedsClock() bool { return n.role == Leader || n.mayCampaign() }
+func (n *Node) NeedsTicks() bool { return n.role == Leader || n.mayCampaign() }
 
 // Tick tells the time. It must not go back.
 func (n *Node) Tick(now time.Duration) {
@@ -345,7 +345,7 @@
 		return ErrNotLeader
 	}
 	if _, settled := n.NeededVoters(); !settled { // (2.5)
-		return ErrChangeUnderWay
+		return ErrChangeInProgress
 	}
 	if len(voters) == 0 {
 		return ErrNoVoters
@@ -356,14 +356,14 @@
 	return nil
 }
 
-// Learn makes a leader send the log to a member that has no vote.
-func (n *Node) Learn(id string) {
+// AddLearner makes a leader send the log to a member that has no vote.
+func (n *Node) AddLearner(id string) {
 	n.learners[id] = true
 	n.syncPeers()
 }
 
-// Unlearn ends what Learn began.
-func (n *Node) Unlearn(id string) {
+// RemoveLearner ends what Learn began.
+func (n *Node) RemoveLearner(id string) {
 	delete(n.learners, id)
 	n.syncPeers()
 }
--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -64,7 +64,7 @@
 	n.Tick(time.Hour)
 	g.Expect(n.Role()).To(Equal(consensus.Follower), "a box that is no voter must not campaign (1.6)")
 	n.Receive(time.Hour, &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, From: "b1/0", To: "b0/old", Term: 9, Index: 99, LogTerm: 9})
-	g.Expect(n.Take().Messages).To(BeEmpty(), "a vote asked of the old incarnation must not be answered (5.1)")
+	g.Expect(n.TakeOutput().Messages).To(BeEmpty(), "a vote asked of the old incarnation must not be answered (5.1)")
 }
 
 func TestVotes(t *testing.T) {
@@ -101,12 +101,12 @@
 			if c.first != nil {
 				c.first.To = "b0/0"
 				n.Receive(c.at, c.first)
-				n.Take()
+				n.TakeOutput()
 			}
 			c.ask.From, c.ask.To = "b1/0", "b0/0"
 			n.Receive(c.at, c.ask)
 			granted := false
-			for _, m := range n.Take().Messages {
+			for _, m := range n.TakeOutput().Messages {
 				granted = granted || m.Type == wire.MessageType_MESSAGE_VOTE_REPLY && !m.Reject
 			}
 			NewWithT(t).Expect(granted).To(Equal(c.grant))
@@ -143,7 +143,7 @@
 func TestEntryOfAnOldTermIsNotAgreedByCount(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3, &wire.Entry{Index: 2, Term: 2, Kind: wire.EntryKind_ENTRY_COMMAND})
-	round := roundOf(n.Take())
+	round := roundOf(n.TakeOutput())
 	answer(n, time.Hour, 2, round)
 	g.Expect(n.Commit()).To(BeEquivalentTo(1), "an entry of an old term may still be replaced (2.2)")
 	answer(n, time.Hour, 3, round)
@@ -155,11 +155,11 @@
 func TestChangeNeedsBothMajorities(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3)
-	answer(n, time.Hour, 2, roundOf(n.Take()))
-	n.Learn("s1/0")
-	n.Learn("s2/0")
+	answer(n, time.Hour, 2, roundOf(n.TakeOutput()))
+	n.AddLearner("s1/0")
+	n.AddLearner("s2/0")
 	g.Expect(n.ChangeVoters([]string{"b0/0", "s1/0", "s2/0"})).To(Succeed())
-	n.Take()
+	n.TakeOutput()
 	for _, id := range []string{"s1/0", "s2/0"} {
 		n.Receive(time.Hour, &wire.Message{Type: wire.MessageType_MESSAGE_APPEND_REPLY, From: id, To: "b0/0", Term: n.Term(), Index: 3, Round: 9})
 	}
@@ -171,20 +171,20 @@
 func TestReadWaitsForItsRound(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3)
-	round := roundOf(n.Take())
+	round := roundOf(n.TakeOutput())
 	answer(n, time.Hour, 2, round)
-	n.Take()
+	n.TakeOutput()
 	g.Expect(n.Read(7)).To(Succeed())
-	out := n.Take()
+	out := n.TakeOutput()
 	g.Expect(out.Reads).To(BeEmpty(), "no quorum has answered since the read came (3.2)")
 	answer(n, time.Hour, 2, roundOf(out))
-	g.Expect(n.Take().Reads).To(HaveLen(1))
+	g.Expect(n.TakeOutput().Reads).To(HaveLen(1))
 }
 
 func TestLeaseCountsFromTheSending(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3)
-	round := roundOf(n.Take())
+	round := roundOf(n.TakeOutput())
 	late := time.Hour + lease/2
 	answer(n, late, 2, round)
 	age, held := n.LeaseAge(late)
@@ -197,7 +197,7 @@
 func TestTransferEndsTheLease(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3)
-	answer(n, time.Hour, 2, roundOf(n.Take()))
+	answer(n, time.Hour, 2, roundOf(n.TakeOutput()))
 	g.Expect(n.Transfer()).To(BeTrue())
 	_, held := n.LeaseAge(time.Hour)
 	g.Expect(held).To(BeFalse(), "another may lead from now on (4.3)")
@@ -205,7 +205,7 @@
 	g.Expect(err).To(MatchError(consensus.ErrNotLeader))
 	for at := time.Hour; at <= time.Hour+election; at += heartbeat {
 		n.Tick(at)
-		answer(n, at, 2, roundOf(n.Take()))
+		answer(n, at, 2, roundOf(n.TakeOutput()))
 	}
 	g.Expect(n.Role()).To(Equal(consensus.Follower), "a transfer that nobody took up must end (4.3)")
 }
@@ -264,9 +264,9 @@
 	g.Expect(n.Role()).To(Equal(consensus.Leader))
 	index, _, err := n.Propose([]byte("x"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(n.Take().Commit).To(Equal(index))
+	g.Expect(n.TakeOutput().Commit).To(Equal(index))
 	g.Expect(n.Read(1)).To(Succeed())
-	g.Expect(n.Take().Reads).To(HaveLen(1))
+	g.Expect(n.TakeOutput().Reads).To(HaveLen(1))
 }
 
 func BenchmarkPropose(b *testing.B) {
@@ -277,6 +277,6 @@
 		if _, _, err := n.Propose([]byte("x")); err != nil {
 			b.Fatal(err)
 		}
-		n.Take()
+		n.TakeOutput()
 	}
 }
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -9,8 +9,8 @@
 var (
 	// ErrNotLeader: the node does not lead, or not yet, or not any more.
 	ErrNotLeader = Error.New("this member does not lead")
-	// ErrChangeUnderWay: another change of the voters is not finished.
-	ErrChangeUnderWay = Error.New("a change of the voters is under way")
+	// ErrChangeInProgress: another change of the voters is not finished.
+	ErrChangeInProgress = Error.New("a change of the voters is under way")
 	// ErrNoVoters: a change to no voters at all was asked for.
 	ErrNoVoters = Error.New("a configuration needs at least one voter")
 	// ErrCompactRange: the index is not agreed yet, or already compacted.
--- a/consensus/send.go
+++ b/consensus/send.go
@@ -6,8 +6,8 @@
 	"leverdrum/wire"
 )
 
-// Take returns the effects since the last call.
-func (n *Node) Take() Output {
+// TakeOutput returns the effects since the last call.
+func (n *Node) TakeOutput() Output {
 	if n.role == Leader {
 		n.flush()
 	}
@@ -15,7 +15,7 @@
 	n.out = Output{}
 	out.Commit = n.commit
 	if n.hardDirty {
-		out.Hard = &wire.HardState{Term: n.term, Vote: n.vote}
+		out.HardState = &wire.HardState{Term: n.term, Vote: n.vote}
 		n.hardDirty = false
 	}
 	if n.snapshotDirty {
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -55,8 +55,8 @@
 	agreed    map[uint64]string // index to term and data
 	floor     uint64            // newest index agreed on any node
 	leaders   map[uint64]string
-	reads     map[string]uint64         // node and token to the floor when it was asked
-	words     map[string]consensus.Word // the last of each process, however old
+	reads     map[string]uint64                // node and token to the floor when it was asked
+	words     map[string]consensus.LogPosition // the last of each process, however old
 	token     uint64
 	proposals int
 	changes   int
@@ -66,7 +66,7 @@
 func newSim(t *rapid.T, voters, spares int) *sim {
 	s := &sim{
 		t: t, procs: map[string]*proc{}, cut: map[[2]string]bool{}, agreed: map[uint64]string{},
-		leaders: map[uint64]string{}, reads: map[string]uint64{}, words: map[string]consensus.Word{},
+		leaders: map[uint64]string{}, reads: map[string]uint64{}, words: map[string]consensus.LogPosition{},
 	}
 	var ids []string
 	for i := range voters {
@@ -89,7 +89,7 @@
 }
 
 func (s *sim) boot(p *proc) {
-	p.node = consensus.New(consensus.Options{ID: p.id, ElectionMin: election, Heartbeat: heartbeat, Lease: lease, Seed: 7, Agreed: p.known}, s.now, p.hard, p.snapshot, p.entries)
+	p.node = consensus.New(consensus.Options{ID: p.id, ElectionMin: election, Heartbeat: heartbeat, Lease: lease, Seed: 7, Committed: p.known}, s.now, p.hard, p.snapshot, p.entries)
 	p.frozen, p.began = false, s.now
 	p.applied = p.snapshot.GetIndex()
 }
@@ -101,15 +101,15 @@
 
 // settle carries out a node's effects as the replica does.
 func (s *sim) settle(p *proc) {
-	out := p.node.Take()
+	out := p.node.TakeOutput()
 	if out.Snapshot != nil {
 		p.snapshot, p.entries = out.Snapshot, nil
 		p.applied = max(p.applied, out.Snapshot.Index)
 	}
-	if out.Hard != nil {
-		p.hard = out.Hard
+	if out.HardState != nil {
+		p.hard = out.HardState
 	}
-	if out.Hard != nil || len(out.Entries) > 0 {
+	if out.HardState != nil || len(out.Entries) > 0 {
 		p.known = out.Commit
 	}
 	if len(out.Entries) > 0 {
@@ -323,8 +323,8 @@
 	if spare == nil {
 		return
 	}
-	if _, holdsAll := p.node.Heard(spare.id); !holdsAll {
-		p.node.Learn(spare.id)
+	if _, holdsAll := p.node.PeerStatus(spare.id); !holdsAll {
+		p.node.AddLearner(spare.id)
 		s.settle(p)
 		return
 	}
@@ -383,27 +383,27 @@
 // long ago, for what is agreed (2.3).
 func (s *sim) say() {
 	if p := s.pick("says", s.running); p != nil {
-		s.words[p.id] = p.node.Word()
+		s.words[p.id] = p.node.LogPosition()
 	}
 }
 
 func (s *sim) hear() {
-	p := s.pick("hears", func(p *proc) bool { return s.running(p) && p.node.Word().Voters != nil })
+	p := s.pick("hears", func(p *proc) bool { return s.running(p) && p.node.LogPosition().Voters != nil })
 	if p == nil {
 		return
 	}
-	own := p.node.Word()
-	words := []consensus.Word{own}
+	own := p.node.LogPosition()
+	words := []consensus.LogPosition{own}
 	for _, id := range s.ids() {
 		if w := s.words[id]; id != p.id && w.Voters != nil {
 			words = append(words, w)
 		}
 	}
-	if index, ok := consensus.AgreedBy(words, own.Term); ok {
+	if index, ok := consensus.CommittedIndex(words, own.Term); ok {
 		if index > p.node.Commit() && index <= own.LastIndex {
 			s.heard++
 		}
-		p.node.Agree(index, own.Term)
+		p.node.MarkCommitted(index, own.Term)
 		s.settle(p)
 	}
 }
--- a/consensus/word_test.go
+++ b/consensus/word_test.go
@@ -13,28 +13,28 @@
 // later term has begun (figure 8 of the Raft paper).
 func TestWordsOfOtherTermsProveNothing(t *testing.T) {
 	voters := []string{"b0/0", "b1/0", "b2/0"}
-	word := func(term, last, lastTerm uint64) consensus.Word {
-		return consensus.Word{Voters: voters, Term: term, LastIndex: last, LastTerm: lastTerm}
+	word := func(term, last, lastTerm uint64) consensus.LogPosition {
+		return consensus.LogPosition{Voters: voters, Term: term, LastIndex: last, LastTerm: lastTerm}
 	}
-	other := consensus.Word{Voters: []string{"b0/0", "b1/0", "b3/0"}, Term: 2, LastIndex: 9, LastTerm: 2}
+	other := consensus.LogPosition{Voters: []string{"b0/0", "b1/0", "b3/0"}, Term: 2, LastIndex: 9, LastTerm: 2}
 	for name, row := range map[string]struct {
-		words []consensus.Word
+		words []consensus.LogPosition
 		index uint64
 		ok    bool
 	}{
 		"none":                                  {nil, 0, false},
-		"a majority in one term":                {[]consensus.Word{word(2, 7, 2), word(2, 9, 2)}, 7, true},
-		"all in one term":                       {[]consensus.Word{word(2, 7, 2), word(2, 9, 2), word(2, 8, 2)}, 8, true},
-		"one alone":                             {[]consensus.Word{word(2, 7, 2)}, 0, false},
-		"one has voted in a later term":         {[]consensus.Word{word(2, 7, 2), word(3, 7, 2)}, 0, false},
-		"the entries are of an earlier term":    {[]consensus.Word{word(4, 7, 2), word(4, 7, 2), word(4, 7, 3)}, 0, false},
-		"one holds entries of a later term":     {[]consensus.Word{word(2, 7, 2), word(3, 7, 3)}, 0, false},
-		"one knows other voters":                {[]consensus.Word{word(2, 7, 2), other}, 0, false},
-		"a majority beside one of a later term": {[]consensus.Word{word(2, 7, 2), word(2, 8, 2), word(3, 6, 3)}, 7, true},
+		"a majority in one term":                {[]consensus.LogPosition{word(2, 7, 2), word(2, 9, 2)}, 7, true},
+		"all in one term":                       {[]consensus.LogPosition{word(2, 7, 2), word(2, 9, 2), word(2, 8, 2)}, 8, true},
+		"one alone":                             {[]consensus.LogPosition{word(2, 7, 2)}, 0, false},
+		"one has voted in a later term":         {[]consensus.LogPosition{word(2, 7, 2), word(3, 7, 2)}, 0, false},
+		"the entries are of an earlier term":    {[]consensus.LogPosition{word(4, 7, 2), word(4, 7, 2), word(4, 7, 3)}, 0, false},
+		"one holds entries of a later term":     {[]consensus.LogPosition{word(2, 7, 2), word(3, 7, 3)}, 0, false},
+		"one knows other voters":                {[]consensus.LogPosition{word(2, 7, 2), other}, 0, false},
+		"a majority beside one of a later term": {[]consensus.LogPosition{word(2, 7, 2), word(2, 8, 2), word(3, 6, 3)}, 7, true},
 	} {
-		index, ok := consensus.AgreedBy(row.words, 2)
+		index, ok := consensus.CommittedIndex(row.words, 2)
 		if name == "the entries are of an earlier term" {
-			index, ok = consensus.AgreedBy(row.words, 4)
+			index, ok = consensus.CommittedIndex(row.words, 4)
 		}
 		NewWithT(t).Expect([]any{index, ok}).To(Equal([]any{row.index, row.ok}), name)
 	}
@@ -44,11 +44,11 @@
 	g := NewWithT(t)
 	entries := []*wire.Entry{{Index: 2, Term: 2}, {Index: 3, Term: 2}}
 	n := consensus.New(options("b0/0"), 0, &wire.HardState{Term: 3}, formed("b0/0", "b1/0", "b2/0"), entries)
-	n.Agree(3, 2)
+	n.MarkCommitted(3, 2)
 	g.Expect(n.Commit()).To(BeEquivalentTo(1), "it is in a later term by now")
 	n = consensus.New(options("b0/0"), 0, &wire.HardState{Term: 2}, formed("b0/0", "b1/0", "b2/0"), entries)
-	n.Agree(4, 2)
+	n.MarkCommitted(4, 2)
 	g.Expect(n.Commit()).To(BeEquivalentTo(1), "it does not hold that")
-	n.Agree(3, 2)
+	n.MarkCommitted(3, 2)
 	g.Expect(n.Commit()).To(BeEquivalentTo(3))
 }
--- a/control/notice_test.go
+++ b/control/notice_test.go
@@ -19,7 +19,7 @@
 )
 
 // formed is a storage that begins with a cluster of one.
-type formed struct{ replica.Memory }
+type formed struct{ replica.MemoryStorage }
 
 func (formed) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"b/i"}}}}
--- a/replica/asleep_test.go
+++ b/replica/asleep_test.go
@@ -13,7 +13,7 @@
 	"leverdrum/wire"
 )
 
-type aloneStorage struct{ Memory }
+type aloneStorage struct{ MemoryStorage }
 
 func (aloneStorage) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -9,10 +9,10 @@
 var (
 	// ErrNotLeader: this box does not lead; nothing was proposed.
 	ErrNotLeader = Error.New("this box does not lead")
-	// ErrUnknown: the command may or may not become agreed.
-	ErrUnknown = Error.New("whether the command became agreed is not known")
-	// ErrFull: the data folder has no room; nothing was proposed.
-	ErrFull = Error.New("the data folder has no room")
+	// ErrOutcomeUnknown: the command may or may not become agreed.
+	ErrOutcomeUnknown = Error.New("whether the command became agreed is not known")
+	// ErrDiskFull: the data folder has no room; nothing was proposed.
+	ErrDiskFull = Error.New("the data folder has no room")
 	// ErrBusy: too much waits already; nothing was proposed.
 	ErrBusy = Error.New("too many events wait")
 )
--- a/replica/established_test.go
+++ b/replica/established_test.go
@@ -15,7 +15,7 @@
 )
 
 // three is the storage of a voter of three.
-type three struct{ Memory }
+type three struct{ MemoryStorage }
 
 func (three) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1", "b/1", "c/1"}}}}
--- a/replica/follow.go
+++ b/replica/follow.go
@@ -26,10 +26,10 @@
 	packed []byte
 }
 
-// Since returns what a box that has applied index lacks: entries, or the whole
+// UpdatesSince returns what a box that has applied index lacks: entries, or the whole
 // state, packed, when the entries are not kept any more. Both are empty when it lacks
 // nothing. A whole state may be some entries behind; these are kept.
-func (r *Replica) Since(index uint64) (entries []*wire.Entry, snapshot []byte, err error) {
+func (r *Replica) UpdatesSince(index uint64) (entries []*wire.Entry, snapshot []byte, err error) {
 	oldest := uint64(0) // entries behind it are kept
 	kept := true
 	err = r.ask(func() error {
@@ -78,9 +78,9 @@
 	return append([]*wire.Entry(nil), entries...)
 }
 
-// Advance takes over agreed entries or a whole agreed state from a parent. What
+// ApplyUpdate takes over agreed entries or a whole agreed state from a parent. What
 // the box has already is passed over.
-func (r *Replica) Advance(entries []*wire.Entry, snapshot []byte) error {
+func (r *Replica) ApplyUpdate(entries []*wire.Entry, snapshot []byte) error {
 	var next *state.State
 	if len(snapshot) > 0 {
 		st, err := unpackState(snapshot)
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -47,7 +47,7 @@
 
 // tickEvery is the time between two looks at the clock from now on.
 func (r *Replica) tickEvery() time.Duration {
-	if r.core.NeedsClock() {
+	if r.core.NeedsTicks() {
 		return tick
 	}
 	return restingTick
@@ -68,7 +68,7 @@
 // nothing came but the clock, and the role stayed, there is nothing to publish. A
 // leader without peers sends no messages, but its lease goes on with the clock.
 func (r *Replica) settle(idle bool) error {
-	out := r.core.Take()
+	out := r.core.TakeOutput()
 	if err := r.persist(&out); err != nil {
 		if errors.Is(err, wal.ErrFull) {
 			return r.withdraw(err)
@@ -94,11 +94,11 @@
 	if out.Snapshot != nil {
 		return r.installSnapshot(out)
 	}
-	if out.Hard == nil && len(out.Entries) == 0 {
+	if out.HardState == nil && len(out.Entries) == 0 {
 		return nil
 	}
 	r.noteFiles(out.Entries)
-	return r.opts.Storage.Append(&wire.Batch{Entries: out.Entries, HardState: out.Hard, Agreed: r.core.Commit()})
+	return r.opts.Storage.Append(&wire.Batch{Entries: out.Entries, HardState: out.HardState, Agreed: r.core.Commit()})
 }
 
 // noteFiles remembers the newest fleet file among entries of the log. One that is dropped
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	hard := out.Hard
+	hard := out.HardState
 	if hard == nil {
 		hard = &wire.HardState{Term: r.core.Term(), Vote: r.core.Vote()}
 	}
@@ -164,7 +164,7 @@
 
 func (r *Replica) failWaiting() {
 	for index, p := range r.waiting {
-		p.answer <- outcome{err: ErrUnknown}
+		p.answer <- outcome{err: ErrOutcomeUnknown}
 		delete(r.waiting, index)
 	}
 	for token, answer := range r.reads {
@@ -202,7 +202,7 @@
 	}
 	delete(r.waiting, e.Index)
 	if p.term != e.Term {
-		r.applied = append(r.applied, answered{p, outcome{err: ErrUnknown}})
+		r.applied = append(r.applied, answered{p, outcome{err: ErrOutcomeUnknown}})
 		return
 	}
 	r.applied = append(r.applied, answered{p, outcome{result: result}})
@@ -215,7 +215,7 @@
 		return
 	}
 	for index, p := range r.waiting {
-		p.answer <- outcome{err: ErrUnknown}
+		p.answer <- outcome{err: ErrOutcomeUnknown}
 		delete(r.waiting, index)
 	}
 }
@@ -258,17 +258,17 @@
 	now := r.Now()
 	s := &Status{
 		Role: r.core.Role(), Term: r.core.Term(), Leader: r.core.Leader(), Commit: r.core.Commit(), Established: r.core.Established(),
-		Word: r.core.Word(), NewestFile: r.newestFile(),
+		LogPosition: r.core.LogPosition(), NewestFile: r.newestFile(),
 	}
 	s.Voters, s.Settled = r.core.NeededVoters()
 	if age, held := r.core.LeaseAge(now); held && s.Established {
-		s.LeaseFrom, s.LeaseHeld = now-age, true
+		s.LeaseStart, s.LeaseHeld = now-age, true
 	}
 	if s.Role == consensus.Leader {
-		s.Heard, s.Holding = map[string]time.Duration{}, map[string]bool{}
+		s.LastSeen, s.CaughtUp = map[string]time.Duration{}, map[string]bool{}
 		for _, id := range r.core.Peers() {
-			ago, holds := r.core.Heard(id)
-			s.Heard[id], s.Holding[id] = now-ago, holds
+			ago, holds := r.core.PeerStatus(id)
+			s.LastSeen[id], s.CaughtUp[id] = now-ago, holds
 		}
 	}
 	r.status.Store(s)
--- a/replica/packed_test.go
+++ b/replica/packed_test.go
@@ -27,7 +27,7 @@
 }
 
 // single is the storage of the only voter.
-type single struct{ Memory }
+type single struct{ MemoryStorage }
 
 func (single) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
@@ -94,7 +94,7 @@
 	proposeAll(t, r, file(1))
 	first := r.View().Index
 	proposeAll(t, r, file(2))
-	entries, _, err := r.Since(first)
+	entries, _, err := r.UpdatesSince(first)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(entries).To(HaveLen(1))
 	g.Expect(proto.Size(entries[0])).To(BeNumerically("<", len(r.View().Text)/100))
--- a/replica/propose.go
+++ b/replica/propose.go
@@ -75,9 +75,9 @@
 	case o := <-p.answer:
 		return Outcome{o.result, o.err}
 	case <-ctx.Done():
-		return Outcome{Err: ErrUnknown}
+		return Outcome{Err: ErrOutcomeUnknown}
 	case <-r.done:
-		return Outcome{Err: ErrUnknown}
+		return Outcome{Err: ErrOutcomeUnknown}
 	}
 }
 
@@ -98,8 +98,8 @@
 		p.answer <- outcome{err: Error.Wrap(err)}
 		return
 	}
-	if !r.opts.Storage.Room(reserve + int64(len(data))) {
-		p.answer <- outcome{err: ErrFull}
+	if !r.opts.Storage.HasCapacity(reserve + int64(len(data))) {
+		p.answer <- outcome{err: ErrDiskFull}
 		return
 	}
 	index, term, err := r.core.Propose(data)
@@ -143,7 +143,7 @@
 	case err := <-answer:
 		return err
 	case <-ctx.Done():
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	case <-r.done:
 		return ErrNotLeader
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -32,8 +32,8 @@
 	Reload() error
 	// Loaded returns what was durable at the last Reload.
 	Loaded() wal.Loaded
-	// Room reports whether so many more bytes can be kept.
-	Room(bytes int64) bool
+	// HasCapacity reports whether so many more bytes can be kept.
+	HasCapacity(bytes int64) bool
 }
 
 // Options make a replica.
@@ -108,22 +108,22 @@
 	// Settled is false then.
 	Voters  []string
 	Settled bool
-	// LeaseFrom is when the leader's last answered round was sent, on the
+	// LeaseStart is when the leader's last answered round was sent, on the
 	// replica's own clock (Now); LeaseHeld is false for others, and for a leader that is not
 	// Established: its applied state may lack what an earlier one had agreed.
-	LeaseFrom time.Duration
-	LeaseHeld bool
+	LeaseStart time.Duration
+	LeaseHeld  bool
 	// Established leaders have an agreed entry of their own term.
 	Established bool
-	// Word is what this member may tell others while no leader is found.
-	Word consensus.Word
+	// LogPosition is what this member may tell others while no leader is found.
+	LogPosition consensus.LogPosition
 	// NewestFile is the index of the newest fleet file in the log, agreed or not, as far
 	// as this member holds the log.
 	NewestFile uint64
-	// Heard maps peers to when they were heard last; Holding to whether they
+	// LastSeen maps peers to when they were heard last; Holding to whether they
 	// hold all that is agreed. Both are filled on a leader only.
-	Heard   map[string]time.Duration
-	Holding map[string]bool
+	LastSeen map[string]time.Duration
+	CaughtUp map[string]bool
 }
 
 // New starts a replica from what its storage holds.
@@ -160,7 +160,7 @@
 		r.master = restored
 	}
 	core := r.opts.Core
-	core.Agreed = l.Agreed
+	core.Committed = l.Agreed
 	r.core = consensus.New(core, r.Now(), l.Hard, l.Snapshot, l.Entries)
 	r.noteFiles(l.Entries)
 	return r.applyTo(r.core.Commit())
@@ -206,7 +206,7 @@
 // may do.
 func (r *Replica) Lease() (time.Duration, bool) {
 	s := r.Status()
-	age := r.Now() - s.LeaseFrom
+	age := r.Now() - s.LeaseStart
 	return age, s.LeaseHeld && age < r.opts.Core.Lease
 }
 
@@ -232,20 +232,20 @@
 	return r.ask(func() error { return r.core.ChangeVoters(voters) })
 }
 
-// Agree has entries up to an index applied that a majority of the voters was seen to hold
+// MarkCommitted has entries up to an index applied that a majority of the voters was seen to hold
 // in a term (consensus, rule 2.3).
-func (r *Replica) Agree(index, term uint64) {
-	r.post(func() { r.core.Agree(index, term) })
+func (r *Replica) MarkCommitted(index, term uint64) {
+	r.post(func() { r.core.MarkCommitted(index, term) })
 }
 
-// Learn makes the leader send the log to a member without a vote.
-func (r *Replica) Learn(id string) {
-	r.post(func() { r.core.Learn(id) })
+// AddLearner makes the leader send the log to a member without a vote.
+func (r *Replica) AddLearner(id string) {
+	r.post(func() { r.core.AddLearner(id) })
 }
 
-// Unlearn ends what Learn began.
-func (r *Replica) Unlearn(id string) {
-	r.post(func() { r.core.Unlearn(id) })
+// RemoveLearner ends what Learn began.
+func (r *Replica) RemoveLearner(id string) {
+	r.post(func() { r.core.RemoveLearner(id) })
 }
 
 // Transfer hands leadership over, if this box has it.
--- a/replica/strayed_test.go
+++ b/replica/strayed_test.go
@@ -21,7 +21,7 @@
 		g := NewWithT(t)
 		r, err := New(Options{
 			Core:    consensus.Options{ID: "b/1", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
-			Storage: Memory{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
+			Storage: MemoryStorage{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		defer r.Close()
--- a/replica/update_test.go
+++ b/replica/update_test.go
@@ -65,7 +65,7 @@
 	at := first
 	for asked := 0; at < r.View().Index; asked++ {
 		g.Expect(asked).To(BeNumerically("<", 12), "each update brings something on")
-		entries, snapshot, err := r.Since(at)
+		entries, snapshot, err := r.UpdatesSince(at)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(snapshot).To(BeNil())
 		g.Expect(asked > 0 || len(entries) < 12).To(BeTrue(), "they do not fit into one update")
@@ -85,7 +85,7 @@
 	for n := range 2 {
 		propose(t, r, n+1, 300_000)
 	}
-	entries, _, err := r.Since(first)
+	entries, _, err := r.UpdatesSince(first)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(entries).To(HaveLen(1))
 }
--- a/replica/whole_test.go
+++ b/replica/whole_test.go
@@ -19,7 +19,7 @@
 	second, _ := wholeOf(t, r)
 	g.Expect(&second[0]).To(BeIdenticalTo(&first[0]), "the same bytes, not packed again")
 	// Who has taken it over gets the rest as entries.
-	entries, whole, err := r.Since(at)
+	entries, whole, err := r.UpdatesSince(at)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(whole).To(BeEmpty())
 	g.Expect(entries[0].Index).To(Equal(at + 1))
@@ -37,7 +37,7 @@
 			proposeMany(t, r, behind)
 			_, at := wholeOf(t, r)
 			g.Expect(at).To(Equal(r.View().Index))
-			entries, whole, err := r.Since(at)
+			entries, whole, err := r.UpdatesSince(at)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(entries).To(BeEmpty())
 			g.Expect(whole).To(BeEmpty())
@@ -56,7 +56,7 @@
 
 // wholeOf returns the state that a new box gets, and its index.
 func wholeOf(t *testing.T, r *Replica) ([]byte, uint64) {
-	_, whole, err := r.Since(0)
+	_, whole, err := r.UpdatesSince(0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-func (mount) Reload() error   { return nil }
-func (mount) Room(int64) bool { return true }
+func (mount) Reload() error          { return nil }
+func (mount) HasCapacity(int64) bool { return true }
 
 func (m mount) Loaded() wal.Loaded {
 	m.disk.mu.Lock()
@@ -204,7 +204,7 @@
 	p := &process{self: self, began: time.Now()}
 	c.mu.Unlock()
 	p.ctx, p.cancel = context.WithCancel(context.Background())
-	var storage replica.Storage = replica.Memory{}
+	var storage replica.Storage = replica.MemoryStorage{}
 	if self.Disk {
 		storage = mount{c.disks[self.Box], p, c.slow}
 	}
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -23,7 +23,7 @@
 )
 
 // formed is the storage of a cluster with one voter.
-type formed struct{ replica.Memory }
+type formed struct{ replica.MemoryStorage }
 
 func (formed) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a1/1"}}}}
@@ -177,7 +177,7 @@
 }
 
 func (f *fleet) add(t *testing.T, self *wire.Member) {
-	var storage replica.Storage = replica.Memory{}
+	var storage replica.Storage = replica.MemoryStorage{}
 	if self.Box == "a1" {
 		storage = formed{}
 	}
--- a/spread/follow.go
+++ b/spread/follow.go
@@ -172,7 +172,7 @@
 		return Error.New("box %s gave another answer than asked for", parent)
 	}
 	// What is agreed is so whoever tells it; how old it is depends on that.
-	if err := s.opts.Replica.Advance(u.Entries, u.Snapshot); err != nil {
+	if err := s.opts.Replica.ApplyUpdate(u.Entries, u.Snapshot); err != nil {
 		return Error.Wrap(err)
 	}
 	if slices.Contains(u.Path, s.opts.Self.Box) {
--- a/spread/leader_test.go
+++ b/spread/leader_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	r, err := replica.New(replica.Options{
 		Core:    consensus.Options{ID: "b/1", ElectionMin: time.Hour, Heartbeat: time.Second, Lease: time.Minute, Seed: 1},
-		Storage: replica.Memory{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
+		Storage: replica.MemoryStorage{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer r.Close()
--- a/spread/manyprobes_test.go
+++ b/spread/manyprobes_test.go
@@ -36,7 +36,7 @@
 		entries = append(entries, commandEntry(t, uint64(len(entries)+2), &wire.Command{Kind: &wire.Command_Join{Join: m}}))
 	}
 	for _, m := range members {
-		var storage replica.Storage = replica.Memory{}
+		var storage replica.Storage = replica.MemoryStorage{}
 		if m.Disk {
 			storage = kept{loaded: wal.Loaded{
 				Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}},
--- a/spread/manystart_test.go
+++ b/spread/manystart_test.go
@@ -42,7 +42,7 @@
 		core := consensus.Options{ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1}
 		for i := range starting {
 			core.ID = fmt.Sprintf("s%02d/1", i)
-			f.start(t, &wire.Member{Box: fmt.Sprintf("s%02d", i), Incarnation: "1", Hall: "abcd"[i%4 : i%4+1]}, replica.Memory{}, core, "a1", "b1", "c1")
+			f.start(t, &wire.Member{Box: fmt.Sprintf("s%02d", i), Incarnation: "1", Hall: "abcd"[i%4 : i%4+1]}, replica.MemoryStorage{}, core, "a1", "b1", "c1")
 			n := f.boxes[fmt.Sprintf("s%02d", i)]
 			f.running.Go(func() { n.spread.Run(ctx) })
 		}
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -144,7 +144,7 @@
 
 // word is what a voter says of its log, and where the newest fleet file stands there.
 type word struct {
-	consensus.Word
+	consensus.LogPosition
 	file uint64
 }
 
@@ -254,7 +254,7 @@
 func (s *Spreader) newsFor(ctx context.Context, from *wire.Member, index uint64, path []string) ([]*wire.Entry, []byte, error) {
 	age, fresh := s.Age()
 	if fresh && stale(age, len(path)) || slices.Contains(path, from.GetBox()) {
-		return s.opts.Replica.Since(index)
+		return s.opts.Replica.UpdatesSince(index)
 	}
 	return s.awaitNews(ctx, index)
 }
@@ -268,13 +268,13 @@
 	for {
 		changed := s.opts.Replica.Changed()
 		if s.opts.Replica.View().Index > index {
-			return s.opts.Replica.Since(index)
+			return s.opts.Replica.UpdatesSince(index)
 		}
 		select {
 		case <-changed:
 			s.gather(ctx)
 		case <-fresher:
-			return s.opts.Replica.Since(index)
+			return s.opts.Replica.UpdatesSince(index)
 		case <-timer.C:
 			return nil, nil, nil
 		case <-ctx.Done():
@@ -380,7 +380,7 @@
 		a.AgeMs = uint32(age.Milliseconds())
 	}
 	status := s.opts.Replica.Status()
-	w := status.Word
+	w := status.LogPosition
 	a.Voters, a.Term, a.LastIndex, a.LastTerm, a.NewestFile = w.Voters, w.Term, w.LastIndex, w.LastTerm, status.NewestFile
 	return a
 }
--- a/spread/start.go
+++ b/spread/start.go
@@ -70,36 +70,36 @@
 			words = append(words, p.word)
 		}
 	}
-	if status.Word.Voters != nil {
-		words = append(words, word{status.Word, status.NewestFile})
+	if status.LogPosition.Voters != nil {
+		words = append(words, word{status.LogPosition, status.NewestFile})
 	}
 	return words
 }
 
 // wordOf reads a voter's word.
 func wordOf(a *wire.ProbeAnswer) word {
-	return word{consensus.Word{Voters: a.Voters, Term: a.Term, LastIndex: a.LastIndex, LastTerm: a.LastTerm}, a.NewestFile}
+	return word{consensus.LogPosition{Voters: a.Voters, Term: a.Term, LastIndex: a.LastIndex, LastTerm: a.LastTerm}, a.NewestFile}
 }
 
 // bare are words without files.
-func bare(words []word) []consensus.Word {
-	var list []consensus.Word
+func bare(words []word) []consensus.LogPosition {
+	var list []consensus.LogPosition
 	for _, w := range words {
-		list = append(list, w.Word)
+		list = append(list, w.LogPosition)
 	}
 	return list
 }
 
 // agree reports whether enough words are there and none knows of a newer file.
 func agree(words []word, file uint64) bool {
-	return consensus.Enough(bare(words)) && !slices.ContainsFunc(words, func(w word) bool { return w.file > file })
+	return consensus.HaveMajority(bare(words)) && !slices.ContainsFunc(words, func(w word) bool { return w.file > file })
 }
 
 // learnAgreed is rule 2.
 func (s *Spreader) learnAgreed() {
 	term := s.opts.Replica.Status().Term
-	if index, ok := consensus.AgreedBy(bare(s.words()), term); ok {
-		s.opts.Replica.Agree(index, term)
+	if index, ok := consensus.CommittedIndex(bare(s.words()), term); ok {
+		s.opts.Replica.MarkCommitted(index, term)
 	}
 }
 
--- a/spread/start_test.go
+++ b/spread/start_test.go
@@ -21,7 +21,7 @@
 
 // kept is the disk of a voter whose cluster lost its power.
 type kept struct {
-	replica.Memory
+	replica.MemoryStorage
 	loaded wal.Loaded
 }
 
@@ -50,7 +50,7 @@
 	f.network(func(from, to string) bool { return !slices.Contains(cut, from) && !slices.Contains(cut, to) })
 	for _, box := range []string{"a1", "a2", "b1", "b2"} {
 		self := &wire.Member{Box: box, Incarnation: "1", Hall: box[:1], Disk: box != "b2"}
-		var storage replica.Storage = replica.Memory{}
+		var storage replica.Storage = replica.MemoryStorage{}
 		if self.Disk {
 			l := wal.Loaded{
 				Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}},
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -370,8 +370,8 @@
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, cause))
 }
 
-// Room reports whether the folder can take size more bytes under its limit.
-func (s *Store) Room(size int64) bool {
+// HasCapacity reports whether the folder can take size more bytes under its limit.
+func (s *Store) HasCapacity(size int64) bool {
 	return s.opts.Limit == 0 || s.other+s.size+size <= s.opts.Limit
 }
 
