--- a/bench/growth_test.go
+++ b/bench/growth_test.go
@@ -99,14 +99,14 @@
 		applyAll(t, st, entriesOf(t, n))
 		view := st.Clone()
 		g := gateway.New(gateway.Options{
-			Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, Notice: func(gateway.Notice) {},
+			Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, Notify: func(gateway.Notice) {},
 			Hall: "hall1", Meters: meter.New(), Log: zap.NewNop(),
 		})
-		g.Changed()
+		g.Refresh()
 		return allocated(200, func(i int) {
 			applyAll(t, st, []*wire.Entry{adapterOrder(t, st, i)})
 			view = st.Clone()
-			g.Changed()
+			g.Refresh()
 		})
 	}
 	small, large := cost(smaller), cost(larger)
--- a/bench/large_test.go
+++ b/bench/large_test.go
@@ -178,17 +178,17 @@
 	}
 	view := st.Clone()
 	g := gateway.New(gateway.Options{
-		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, Notice: func(gateway.Notice) {},
+		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, Notify: func(gateway.Notice) {},
 		Hall: "hall1", Meters: meter.New(), Log: zap.NewNop(),
 	})
-	g.Changed()
+	g.Refresh()
 	b.ReportAllocs()
 	i := 0
 	within(b, "a change", mostLargeChange, func() {
 		i++
 		applyAll(b, st, []*wire.Entry{adapterOrder(b, st, i)})
 		view = st.Clone()
-		g.Changed()
+		g.Refresh()
 	})
 }
 
--- a/box/box.go
+++ b/box/box.go
@@ -199,7 +199,7 @@
 	switch p := b.parts.Load(); {
 	case p == nil:
 		starting(w, r)
-	case b.settings.Dialect == settings.DialectPlatform, p.gateway.Routes():
+	case b.settings.Dialect == settings.DialectPlatform, p.gateway.HasRoutes():
 		p.gateway.ServeHTTP(w, r)
 	default:
 		p.entry.ServeHTTP(w, r)
--- a/box/directory.go
+++ b/box/directory.go
@@ -31,7 +31,7 @@
 		began := time.Now()
 		p.directory.Update(view)
 		p.entry.Changed()
-		p.gateway.Changed()
+		p.gateway.Refresh()
 		if p.spread.Current() && p.replica.View() == view {
 			b.warm.Store(true)
 		}
--- a/box/drains.go
+++ b/box/drains.go
@@ -34,7 +34,7 @@
 
 // add has this box keep to what a server said at once, whatever is agreed. It does not block.
 func (d *drains) add(server string) {
-	d.parts.gateway.Drains(server)
+	d.parts.gateway.RecordDraining(server)
 	select {
 	case d.servers <- server:
 	default:
--- a/box/platform.go
+++ b/box/platform.go
@@ -43,14 +43,14 @@
 	}
 	return gateway.New(gateway.Options{
 		Dialect: own, View: p.replica.View, Current: func() bool { return b.warm.Load() && p.spread.Current() },
-		Notice: func(n gateway.Notice) {
+		Notify: func(n gateway.Notice) {
 			select {
 			case p.notices <- n:
 			default: // the leader hears of it with the next request
 			}
 		},
-		Crashes: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
-		Hall: s.Hall, Parting: s.Parting, MaxBodies: s.Memory / bodiesShare, RegionOf: func(hall string) string { return regionOf(p.replica.View(), s, hall) },
+		ReportCrash: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
+		Hall: s.Hall, DrainingDuration: s.Parting, MaxBodies: s.Memory / bodiesShare, RegionOf: func(hall string) string { return regionOf(p.replica.View(), s, hall) },
 		Budget: gateway.Budget{Ratio: s.BudgetRatio, Slack: s.BudgetSlack, Window: s.BudgetWindow},
 		Meters: b.meters, Log: b.log,
 	})
@@ -87,7 +87,7 @@
 // tellLimit has the leader hear what a server named as its limit.
 func (p *parts) tellLimit(server string, limit dialect.Limit) {
 	select {
-	case p.notices <- gateway.Notice{Limited: server, Limit: limit}:
+	case p.notices <- gateway.Notice{LimitedServer: server, Limit: limit}:
 	default: // told again with a later answer
 	}
 }
@@ -103,7 +103,7 @@
 		}
 		for server, left := range p.pushback.LongBackoffs() {
 			select {
-			case p.notices <- gateway.Notice{Resting: server, Rests: left}:
+			case p.notices <- gateway.Notice{BackoffServer: server, Backoff: left}:
 			default: // told again while it lasts
 			}
 		}
@@ -111,20 +111,20 @@
 }
 
 func addNotice(call *wire.Forward, n gateway.Notice) {
-	if n.Wanted != "" {
-		call.Wants = append(call.Wants, &wire.Demand{Model: n.Wanted})
+	if n.AwaitedItem != "" {
+		call.Wants = append(call.Wants, &wire.Demand{Model: n.AwaitedItem})
 	}
-	if n.Refusing != "" {
-		call.Refusing = append(call.Refusing, n.Refusing)
+	if n.RefusingServer != "" {
+		call.Refusing = append(call.Refusing, n.RefusingServer)
 	}
-	if n.Limited != "" {
-		call.Limits = append(call.Limits, &wire.ServerLimit{Server: n.Limited, Milli: uint32(n.Limit)})
+	if n.LimitedServer != "" {
+		call.Limits = append(call.Limits, &wire.ServerLimit{Server: n.LimitedServer, Milli: uint32(n.Limit)})
 	}
-	if n.Resting != "" {
-		call.Rests = append(call.Rests, &wire.ServerRest{Server: n.Resting, LeftMs: uint32(min(n.Rests.Milliseconds(), math.MaxUint32))})
+	if n.BackoffServer != "" {
+		call.Rests = append(call.Rests, &wire.ServerRest{Server: n.BackoffServer, LeftMs: uint32(min(n.Backoff.Milliseconds(), math.MaxUint32))})
 	}
-	if n.Unreached != "" {
-		call.Unreached = append(call.Unreached, n.Unreached)
+	if n.UnreachableServer != "" {
+		call.Unreached = append(call.Unreached, n.UnreachableServer)
 	}
 }
 
--- a/gateway/conns.go
+++ b/gateway/conns.go
@@ -15,11 +15,11 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("gateway")
 
-// ErrConnections: the box may open no more connections to the server.
-var ErrConnections = Error.New("no connection is free")
+// ErrConnectionLimit: the box may open no more connections to the server.
+var ErrConnectionLimit = Error.New("no connection is free")
 
-// ErrResting: the server asked for a rest before the request was sent.
-var ErrResting = Error.New("the server rests")
+// ErrInBackoff: the server asked for a rest before the request was sent.
+var ErrInBackoff = Error.New("the server rests")
 
 const (
 	// dialTimeout bounds the opening of a connection.
@@ -96,7 +96,7 @@
 		return x, false, nil
 	}
 	if !c.reserve() {
-		return nil, false, ErrConnections
+		return nil, false, ErrConnectionLimit
 	}
 	x, err = c.dial(ctx)
 	return x, true, err
@@ -119,7 +119,7 @@
 // reach returns nil if the server takes a connection now. It is kept for a request.
 func (c *conns) reach() error {
 	if !c.reserve() {
-		return ErrConnections
+		return ErrConnectionLimit
 	}
 	x, err := c.dial(context.Background())
 	if err != nil {
--- a/gateway/crashers.go
+++ b/gateway/crashers.go
@@ -78,7 +78,7 @@
 		return crasher.Unclear
 	}
 	if s.setDown(time.Now()) {
-		g.notices.note(Notice{Refusing: s.id})
+		g.notices.note(Notice{RefusingServer: s.id})
 	}
 	return crasher.Ended
 }
--- a/gateway/crashers_test.go
+++ b/gateway/crashers_test.go
@@ -87,10 +87,10 @@
 // serveOne serves one request and returns its status.
 func serveOne(view *state.State, seen *told) int {
 	gate := New(Options{
-		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, Parting: time.Minute,
-		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, Crashes: seen.add, Meters: meter.New(), Log: zap.NewNop(),
+		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, DrainingDuration: time.Minute,
+		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, ReportCrash: seen.add, Meters: meter.New(), Log: zap.NewNop(),
 	})
-	gate.Changed()
+	gate.Refresh()
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	r.Host = "h.example"
 	w := httptest.NewRecorder()
@@ -156,10 +156,10 @@
 	var current atomic.Pointer[state.State]
 	current.Store(view)
 	gate := New(Options{
-		Dialect: dialect.Own, View: current.Load, Current: func() bool { return true }, Parting: time.Minute,
-		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, Crashes: seen.add, Meters: meter.New(), Log: zap.NewNop(),
+		Dialect: dialect.Own, View: current.Load, Current: func() bool { return true }, DrainingDuration: time.Minute,
+		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, ReportCrash: seen.add, Meters: meter.New(), Log: zap.NewNop(),
 	})
-	gate.Changed()
+	gate.Refresh()
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	r.Host = "h.example"
 	w := httptest.NewRecorder()
@@ -169,7 +169,7 @@
 	next := view.Clone()
 	next.Announcements.Set("i0", &wire.Announcement{Id: "i0", Service: "s", Address: l.Addr().String(), Version: "v1", Slots: 8, Silent: true})
 	current.Store(next)
-	gate.Changed()
+	gate.Refresh()
 	g.Expect(seen.signs()).To(Equal(1))
 	g.Expect(seen.list[0].Signs[0].Weak).To(BeTrue())
 }
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -116,13 +116,13 @@
 
 // Notice is what the leader is told of at once.
 type Notice struct {
-	Wanted    string // a model or adapter that requests wait for, or
-	Refusing  string // a server that refuses connections, or
-	Unreached string // one that does not answer when a connection is opened, or
-	Limited   string // a server that named another limit than is agreed
-	Limit     dialect.Limit
-	Resting   string // a server that asks for a long rest
-	Rests     time.Duration
+	AwaitedItem       string // a model or adapter that requests wait for, or
+	RefusingServer    string // a server that refuses connections, or
+	UnreachableServer string // one that does not answer when a connection is opened, or
+	LimitedServer     string // a server that named another limit than is agreed
+	Limit             dialect.Limit
+	BackoffServer     string // a server that asks for a long rest
+	Backoff           time.Duration
 }
 
 // notices tells the leader, of each thing not too often.
--- a/gateway/down_test.go
+++ b/gateway/down_test.go
@@ -79,12 +79,12 @@
 		var told []Notice
 		n := newNotices(func(n Notice) { told = append(told, n) })
 		for range 5 {
-			n.note(Notice{Wanted: "m"})
-			n.note(Notice{Refusing: "s"})
+			n.note(Notice{AwaitedItem: "m"})
+			n.note(Notice{RefusingServer: "s"})
 		}
-		g.Expect(told).To(ConsistOf(Notice{Wanted: "m"}, Notice{Refusing: "s"}))
+		g.Expect(told).To(ConsistOf(Notice{AwaitedItem: "m"}, Notice{RefusingServer: "s"}))
 		time.Sleep(noticeEvery)
-		n.note(Notice{Wanted: "m"})
+		n.note(Notice{AwaitedItem: "m"})
 		g.Expect(told).To(HaveLen(3))
 	})
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -109,7 +109,7 @@
 
 // unsent reports whether nothing arrived anywhere.
 func (f *failure) unsent() bool {
-	return f.dial || errors.Is(f.cause, ErrConnections) || errors.Is(f.cause, ErrResting)
+	return f.dial || errors.Is(f.cause, ErrConnectionLimit) || errors.Is(f.cause, ErrInBackoff)
 }
 
 func notRun(why *reason.Reason, cause error) *failure {
@@ -127,12 +127,12 @@
 	x, _, err := to.get(ctx)
 	if err != nil {
 		f := notRun(reason.NotReached, err)
-		f.dial = !errors.Is(err, ErrConnections)
+		f.dial = !errors.Is(err, ErrConnectionLimit)
 		return nil, f
 	}
 	if o.sendable != nil && !o.sendable() {
 		to.put(x)
-		return nil, notRun(reason.ServersResting, ErrResting)
+		return nil, notRun(reason.ServersResting, ErrInBackoff)
 	}
 	a := &answer{conn: x, from: to}
 	// A deadline in the past ends reads and writes that are under way.
--- a/gateway/failed.go
+++ b/gateway/failed.go
@@ -102,9 +102,9 @@
 	j.g.opts.Pushback.RecordUnreachable(s.id)
 	switch refused := errors.Is(f.cause, syscall.ECONNREFUSED); {
 	case refused && s.setDown(now):
-		j.g.notices.note(Notice{Refusing: s.id})
+		j.g.notices.note(Notice{RefusingServer: s.id})
 	case !refused && s.setUnreached(now):
-		j.g.notices.note(Notice{Unreached: s.id})
+		j.g.notices.note(Notice{UnreachableServer: s.id})
 	}
 }
 
--- a/gateway/find.go
+++ b/gateway/find.go
@@ -136,7 +136,7 @@
 	case hopeless:
 		return reason.NotResident
 	default:
-		j.g.notices.note(Notice{Wanted: wantedOf(j.prompt)})
+		j.g.notices.note(Notice{AwaitedItem: wantedOf(j.prompt)})
 	}
 	timer := time.NewTimer(min(pause, j.left()))
 	defer timer.Stop()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -63,11 +63,11 @@
 	View    func() *state.State
 	// Current reports whether the box may act on its configuration.
 	Current func() bool
-	// Notice tells the leader of what this box met while it served. It must
+	// Notify tells the leader of what this box met while it served. It must
 	// not block.
-	Notice func(Notice)
-	// Crashes tells of requests under which servers ended; nil where nobody is to hear. It must not block.
-	Crashes func(*wire.CrashReport)
+	Notify func(Notice)
+	// ReportCrash tells of requests under which servers ended; nil where nobody is to hear. It must not block.
+	ReportCrash func(*wire.CrashReport)
 	// Quotas bounds what workspaces are served; nil where nothing does.
 	Quotas *rate.Limiter
 	// Pushback keeps to what servers say of themselves; nil where none does.
@@ -75,8 +75,8 @@
 	Hall     string
 	// RegionOf tells the region of a data hall, "" where that is not known; nil: of none.
 	RegionOf func(hall string) string
-	// Parting is how long a server that leaves is a last resort.
-	Parting time.Duration
+	// DrainingDuration is how long a server that leaves is a last resort.
+	DrainingDuration time.Duration
 	// MaxBodies bounds the bytes of requests' bodies that the box holds at once; 0: no bound.
 	MaxBodies int64
 	Budget    Budget
@@ -108,27 +108,27 @@
 
 // New returns a Gateway.
 func New(opts Options) *Gateway {
-	if opts.Crashes == nil {
-		opts.Crashes = func(*wire.CrashReport) {}
+	if opts.ReportCrash == nil {
+		opts.ReportCrash = func(*wire.CrashReport) {}
 	}
-	g := &Gateway{opts: opts, dir: newDirectory(opts.Hall, opts.Parting*partingShare/100, opts.Pushback), demand: newDemand(), reading: newReading(), lasting: newLasting(), notices: newNotices(opts.Notice), bodies: &bodies{most: opts.MaxBodies}, stopping: make(chan struct{})}
+	g := &Gateway{opts: opts, dir: newDirectory(opts.Hall, opts.DrainingDuration*partingShare/100, opts.Pushback), demand: newDemand(), reading: newReading(), lasting: newLasting(), notices: newNotices(opts.Notify), bodies: &bodies{most: opts.MaxBodies}, stopping: make(chan struct{})}
 	if opts.RegionOf != nil {
 		g.dir.regionOf = opts.RegionOf
 	}
 	g.budgets = newBudgets(opts.Budget, g.dir.boxes)
-	g.broken = crasher.NewWatch(opts.Crashes)
+	g.broken = crasher.NewWatch(opts.ReportCrash)
 	return g
 }
 
-// Changed takes over the newest agreed state.
-func (g *Gateway) Changed() {
+// Refresh takes over the newest agreed state.
+func (g *Gateway) Refresh() {
 	view := g.opts.View()
 	g.dir.update(view)
 	g.noteEnded(view)
 }
 
-// Drains takes in that a server said in an answer that it drains.
-func (g *Gateway) Drains(server string) { g.dir.drains(server) }
+// RecordDraining takes in that a server said in an answer that it drains.
+func (g *Gateway) RecordDraining(server string) { g.dir.drains(server) }
 
 // Drain closes each connection after its next answer.
 func (g *Gateway) Drain() { g.draining.Store(true) }
@@ -151,8 +151,8 @@
 // Ready reports whether there is a configuration to serve.
 func (g *Gateway) Ready() bool { return g.dir.table().routes != nil }
 
-// Routes reports whether the configuration in force has routes.
-func (g *Gateway) Routes() bool {
+// HasRoutes reports whether the configuration in force has routes.
+func (g *Gateway) HasRoutes() bool {
 	t := g.dir.table()
 	return t.fleet != nil && len(t.fleet.Routes) > 0
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -151,7 +151,7 @@
 		Dialect: own, View: func() *state.State { return s.view }, Current: func() bool { s.asked(); return true }, Hall: "h",
 		Budget: gateway.Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, Quotas: quotas, Meters: meter.New(), Log: zap.New(lines), RegionOf: func(hall string) string { return "region-of-" + hall },
 	})
-	s.gate.Changed()
+	s.gate.Refresh()
 	server := httptest.NewServer(s.gate)
 	t.Cleanup(server.Close)
 	s.at = server.Listener.Addr().String()
@@ -418,7 +418,7 @@
 	leaves := proto.CloneOf(s.view.Announcements.Get("i1"))
 	leaves.Leaving = true
 	s.view.Announcements.Set("i1", leaves)
-	s.gate.Changed()
+	s.gate.Refresh()
 	answer := s.send(request("/safe/x", ""))
 	g.Expect(answer).To(HavePrefix("HTTP/1.1 503 "), "a server that leaves gets nothing")
 	g.Expect(b.came()).To(BeEmpty())
@@ -433,7 +433,7 @@
 	s := newSetup(t, 30*time.Second, b)
 	s.view.Fleet.Pools["s"].Kind = &fleet.Kind{Name: "k", Accelerators: 1, Concurrency: 8}
 	s.view.Fleet.Models["m"] = &fleet.Model{Name: "m", Pool: "s"}
-	s.gate.Changed()
+	s.gate.Refresh()
 	answered := make(chan string)
 	// Its own time ends long after the test gave up.
 	patient := strings.Replace(request("/stream/x", "X-Model: m\r\n"), "X-Deadline-Ms: 5000", "X-Deadline-Ms: 60000", 1)
--- a/gateway/job.go
+++ b/gateway/job.go
@@ -178,7 +178,7 @@
 		if f.unsent() {
 			j.releasePermit()
 		}
-		if errors.Is(f.cause, ErrResting) {
+		if errors.Is(f.cause, ErrInBackoff) {
 			j.sends--
 		}
 		return j.failed(ctx, s, f)
--- a/gateway/learned_test.go
+++ b/gateway/learned_test.go
@@ -42,7 +42,7 @@
 		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true },
 		Budget: Budget{Ratio: 1, Slack: 9, Window: time.Second}, Meters: meter.New(), Log: zap.NewNop(),
 	})
-	gate.Changed()
+	gate.Refresh()
 	send := func(model string) {
 		r := httptest.NewRequest(http.MethodGet, "/x", strings.NewReader(""))
 		r.Host = "h"
--- a/gateway/patience_test.go
+++ b/gateway/patience_test.go
@@ -18,7 +18,7 @@
 // waiting is a request that has waited for a time for a model that is nowhere; coming is
 // in how long it is to be ready, from the request's arrival, 0: never.
 func waiting(route *fleet.Route, deadline, waited, coming time.Duration) (*job, time.Time) {
-	g := New(Options{Parting: time.Second})
+	g := New(Options{DrainingDuration: time.Second})
 	p := &pool{Pool: &fleet.Pool{Name: "p"}, coming: map[string]time.Time{}}
 	g.dir.current.Store(&table{pools: map[string]*pool{"p": p}})
 	now := time.Now()
@@ -112,7 +112,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		told := make(chan Notice, 1)
-		gate := New(Options{Parting: time.Second, View: state.New, Notice: func(n Notice) { told <- n }})
+		gate := New(Options{DrainingDuration: time.Second, View: state.New, Notify: func(n Notice) { told <- n }})
 		left := newServer(&wire.Announcement{Id: "i1", Slots: 4, Address: "127.0.0.1:1"})
 		left.part(time.Now().Add(-2 * time.Second))
 		p := &pool{Pool: &fleet.Pool{Name: "p", Kind: &fleet.Kind{}}, coming: map[string]time.Time{}, ready: map[string][]*server{"m/a1": {left}}}
@@ -124,6 +124,6 @@
 		_, why := j.find(context.Background())
 		g.Expect(why).To(Equal(reason.NotResident))
 		g.Expect(time.Since(j.arrived)).To(BeNumerically("<", 9*time.Second), "given up by its patience, not by its deadline")
-		g.Expect(told).To(Receive(Equal(Notice{Wanted: "m/a1"})))
+		g.Expect(told).To(Receive(Equal(Notice{AwaitedItem: "m/a1"})))
 	})
 }
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -19,18 +19,18 @@
 	s := newSetup(t, 2*time.Second, breaks, away)
 	s.view.Announcements.Get("i2").Hall = "k"
 	s.view.Evacuations["k"] = &wire.Evacuation{Hall: "k"}
-	s.gate.Changed()
+	s.gate.Refresh()
 	for range 4 {
 		g.Expect(s.send(request("/safe/x", ""))).To(HavePrefix("HTTP/1.1 502 "))
 	}
 	g.Expect(away.came()).To(BeEmpty())
 	s.view.Evacuations["h"] = &wire.Evacuation{Hall: "h"}
-	s.gate.Changed()
+	s.gate.Refresh()
 	began := time.Now()
 	g.Expect(s.send(request("/safe/x", ""))).To(And(HavePrefix("HTTP/1.1 503 "), ContainSubstring(reason.NoServer.Code)))
 	g.Expect(time.Since(began)).To(BeNumerically("<", time.Second), "refused at once")
 	clear(s.view.Evacuations)
-	s.gate.Changed()
+	s.gate.Refresh()
 	g.Expect(s.send(request("/safe/x", ""))).To(HavePrefix("HTTP/1.1 200 "))
 }
 
@@ -41,7 +41,7 @@
 	near, far := newBackend(t, "i1", ok), newBackend(t, "i2", ok)
 	s := newSetup(t, 2*time.Second, near, far)
 	s.view.Announcements.Get("i2").Hall = "k"
-	s.gate.Changed()
+	s.gate.Refresh()
 	for _, r := range s.view.Fleet.Routes {
 		r.Regions = []string{"region-of-k", "region-of-none"}
 	}
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -216,7 +216,7 @@
 		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true },
 		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, Meters: meter.New(), Log: zap.NewNop(),
 	})
-	gate.Changed()
+	gate.Refresh()
 	route := &fleet.Route{Kind: fleet.Streaming, Resumable: true, MaxAttempts: 2, Timeout: time.Minute}
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	j := gate.newJob(httptest.NewRecorder(), r, gate.dir.table(), route, nil, time.Now())
--- a/gateway/workspaces_test.go
+++ b/gateway/workspaces_test.go
@@ -34,7 +34,7 @@
 	view := *s.view
 	view.Fleet = &next
 	s.view = &view
-	s.gate.Changed()
+	s.gate.Refresh()
 }
 
 func TestOnlyAKeyOpensARoute(t *testing.T) {
