--- a/box/box.go
+++ b/box/box.go
@@ -199,7 +199,7 @@
 	switch p := b.parts.Load(); {
 	case p == nil:
 		starting(w, r)
-	case b.settings.Dialect == settings.DialectPlatform, p.gateway.Routes():
+	case b.settings.Dialect == settings.DialectPlatform, p.gateway.HasRoutes():
 		p.gateway.ServeHTTP(w, r)
 	default:
 		p.entry.ServeHTTP(w, r)
@@ -293,7 +293,7 @@
 func (b *Box) assemble() (*parts, error) {
 	s := b.settings
 	self := b.id.Self()
-	var storage replica.Storage = replica.Memory{}
+	var storage replica.Storage = replica.MemoryStorage{}
 	if b.store != nil {
 		storage = b.store
 	}
