--- a/placement/kept_test.go
+++ b/placement/cache_test.go
@@ -15,10 +15,9 @@
 	"leverdrum/wire"
 )
 
-// What is kept within a decision for its speed changes none: on random fleets with models
-// that have no copy, servers that are down and demand of all kinds each decision is the same
-// as when everything is found anew each time.
-func TestWhatIsKeptChangesNoDecision(t *testing.T) {
+// Caching within a decision must not change it: on random fleets with models without a copy,
+// unavailable servers and all kinds of demand, each decision equals the one made without caches.
+func TestCachesChangeNoDecision(t *testing.T) {
 	for seed := range 150 {
 		r := rand.New(rand.NewPCG(uint64(seed), 1))
 		servers, models := 4+r.IntN(30), 5+r.IntN(40)
@@ -52,29 +51,29 @@
 		}
 		for round := range 6 {
 			demand := map[string]Demand{}
-			patient, idle, wanted := map[string]bool{}, map[string]bool{}, map[string]bool{}
+			deferred, idle, awaited := map[string]bool{}, map[string]bool{}, map[string]bool{}
 			for i := range models {
 				name := fmt.Sprint("model", i)
 				if r.IntN(3) > 0 {
 					q := r.ExpFloat64() * 20
 					demand[name] = Demand{Requests: q, BusySlots: q * r.Float64() * 3, LongTermRequests: q * r.Float64(), PrefillLoad: r.Float64() * 0.6}
 				}
-				patient[name], idle[name] = r.IntN(9) == 0, r.IntN(5) == 0
+				deferred[name], idle[name] = r.IntN(9) == 0, r.IntN(5) == 0
 				if r.IntN(6) == 0 {
-					wanted[name] = true
-					wanted[fleet.AdapterName(name, "a1")] = true
+					awaited[name] = true
+					awaited[fleet.AdapterName(name, "a1")] = true
 				}
 			}
-			down, held := map[string]bool{}, map[string]bool{}
+			down, noOrders := map[string]bool{}, map[string]bool{}
 			for i := range servers {
 				down[fmt.Sprintf("i-%d", i)] = r.IntN(8) == 0
-				held[fmt.Sprintf("i-%d", i)] = r.IntN(8) == 0
+				noOrders[fmt.Sprintf("i-%d", i)] = r.IntN(8) == 0
 			}
-			in := Input{State: st, Demand: demand, Deferred: patient, Idle: idle, Awaited: wanted, Down: down, NoOrders: held, LeaderFor: time.Hour}
+			in := Input{State: st, Demand: demand, Deferred: deferred, Idle: idle, Awaited: awaited, Down: down, NoOrders: noOrders, LeaderFor: time.Hour}
 			plan := Decide(in)
-			in.afresh = true
-			if want := Decide(in); told(plan) != told(want) {
-				t.Fatalf("seed %d, round %d:\n%s\nnot\n%s", seed, round, told(plan), told(want))
+			in.noCache = true
+			if want := Decide(in); planText(plan) != planText(want) {
+				t.Fatalf("seed %d, round %d: got\n%s\nwant\n%s", seed, round, planText(plan), planText(want))
 			}
 			for _, d := range plan.Decisions {
 				add(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
@@ -88,8 +87,8 @@
 	}
 }
 
-// told is a plan as a text.
-func told(p Plan) string {
+// planText returns a plan as text.
+func planText(p Plan) string {
 	var b strings.Builder
 	for _, d := range p.Decisions {
 		fmt.Fprintln(&b, d.Order.Action, d.Order.Server, d.Order.Item.Model, d.Order.Item.Adapter, d.Order.RoomFor, d.Reason)
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -12,329 +12,326 @@
 )
 
 const (
-	// DefaultDemandSettleTime is how long a new leader waits for demand to be reported,
-	// unless Input says otherwise.
+	// DefaultDemandSettleTime is how long a new leader waits for demand reports, unless
+	// Input.DemandSettleTime says otherwise.
 	DefaultDemandSettleTime = 10 * time.Second
-	// worthShare is the share of the worth of a copy that room is made for which
-	// another move must have to be made meanwhile.
-	worthShare = 0.3
-	// askedFor is the rate, in requests a second, from which an on-demand adapter
-	// counts as asked for (10).
-	askedFor = 0.15
-	// movesAtOnce bounds the copies that demand moves in one decision.
-	movesAtOnce = 4
+	// pendingValueShare is the share of the value of a copy that room is being made for that
+	// another move must exceed meanwhile.
+	pendingValueShare = 0.3
+	// minAdapterRate is the rate, in requests per second, from which an on-demand adapter counts as
+	// requested (10).
+	minAdapterRate = 0.15
+	// maxMovesPerDecision limits the moves made for demand in one decision.
+	maxMovesPerDecision = 4
 )
 
-// spreadWork books each model's demand on the servers of its copies: in equal parts, but for
-// what servers with a limit do not take.
-func (p *planner) spreadWork() {
-	for _, m := range p.models { // sums depend on their order
-		p.book(m, 1)
+// assignDemand adds each model's demand to the servers of its copies: in equal shares, except for
+// what servers with a limit do not admit.
+func (p *planner) assignDemand() {
+	for _, m := range p.models { // floating-point sums depend on the order
+		p.addDemand(m, 1)
 	}
 }
 
-// book adds (or takes off, with -1) the model's work on the servers of its
-// copies.
-func (p *planner) book(m *fleet.Model, sign float64) {
+// addDemand adds the model's demand to the servers of its copies, or removes it with sign -1.
+func (p *planner) addDemand(m *fleet.Model, sign float64) {
 	list, d := p.serving(m), p.in.Demand[m.Name]
-	parts := p.parts(m, list)
+	shares := p.demandShares(m, list)
 	for i, c := range list {
-		part := 1 / float64(len(list))
-		if parts != nil {
-			part = parts[i]
+		share := 1 / float64(len(list))
+		if shares != nil {
+			share = shares[i]
 		}
-		c.acc.load.add(d, sign*part)
+		c.acc.load.add(d, sign*share)
 	}
 }
 
-func (p *planner) addCopy(m *fleet.Model, c copyOf) {
-	p.book(m, -1)
+func (p *planner) addCopy(m *fleet.Model, c modelCopy) {
+	p.addDemand(m, -1)
 	p.copies[m.Name] = append(p.copies[m.Name], c)
-	delete(p.served, m.Name)
-	p.book(m, 1)
+	delete(p.servingCache, m.Name)
+	p.addDemand(m, 1)
 }
 
-func (p *planner) dropCopy(m *fleet.Model, c copyOf) {
-	p.book(m, -1)
-	p.copies[m.Name] = slices.DeleteFunc(slices.Clone(p.copies[m.Name]), func(x copyOf) bool { return x == c })
-	delete(p.served, m.Name)
-	p.book(m, 1)
+func (p *planner) dropCopy(m *fleet.Model, c modelCopy) {
+	p.addDemand(m, -1)
+	p.copies[m.Name] = slices.DeleteFunc(slices.Clone(p.copies[m.Name]), func(x modelCopy) bool { return x == c })
+	delete(p.servingCache, m.Name)
+	p.addDemand(m, 1)
 }
 
-// followAbove is rule 7 for the moves that spare more than so many requests a second
-// (1).
-func (p *planner) followAbove(rate float64) {
+// moveAbove applies rule 7 to moves that save more than rate requests per second (1).
+func (p *planner) moveAbove(rate float64) {
 	if p.in.LeaderFor < cmp.Or(p.in.DemandSettleTime, DefaultDemandSettleTime) {
 		return
 	}
-	for p.moves < movesAtOnce {
+	for p.moves < maxMovesPerDecision {
 		best := p.nextMove()
-		if best == nil || best.rate <= rate || p.disturbed(best) || !p.mayLoad() && !p.atHand(best.model, best.acc) {
+		if best == nil || best.rate <= rate || p.touchesEvictions(best) || !p.mayLoad() && !p.isCached(best.model, best.acc) {
 			return
 		}
 		p.best = nil
 		p.moves++
-		p.move(best)
+		p.perform(best)
 	}
 }
 
-// nextMove returns the best move that is worth its price, nil when there is none. It
-// is looked for once until it is made.
+// nextMove returns the best move that is worth its price, or nil if there is none. The result is
+// kept until the move is made.
 func (p *planner) nextMove() *candidate {
-	if p.noMove || p.best != nil {
+	if p.noMoveLeft || p.best != nil {
 		return p.best
 	}
-	least := p.fleet.MoveWeight
+	minValue := p.fleet.MoveWeight
 	if p.moves == 0 {
-		least = max(least, worthShare*p.pendingWorth())
+		minValue = max(minValue, pendingValueShare*p.pendingValue())
 	}
 	p.best = p.bestMove()
-	if p.best == nil || p.best.worth <= least {
-		p.best, p.noMove = nil, true
+	if p.best == nil || p.best.value <= minValue {
+		p.best, p.noMoveLeft = nil, true
 	}
 	return p.best
 }
 
-// pendingWorth is what the best further copy would be worth of those models that
-// room is being made for: lesser ones do not take the weight store's rate from it.
-func (p *planner) pendingWorth() (worth float64) {
-	for name := range p.roomFor {
+// pendingValue returns the highest value of a further copy among the models that room is being made
+// for. Moves of lower value must not take the weight store's capacity from it.
+func (p *planner) pendingValue() (value float64) {
+	for name := range p.makingRoomFor {
 		if m := p.fleet.Models[name]; m != nil {
-			if c := p.furtherCopy(m, false); c != nil {
-				worth = max(worth, c.worth)
+			if c := p.additionalCopy(m, false); c != nil {
+				value = max(value, c.value)
 			}
 		}
 	}
-	return worth
+	return value
 }
 
-// disturbed reports whether a move reckons with servers whose copies make room in
-// this round: what it is worth is known only when that room is used.
-func (p *planner) disturbed(c *candidate) bool {
+// touchesEvictions reports whether a move affects servers on which copies are evicted in this
+// decision: its value is known only once the freed memory is used.
+func (p *planner) touchesEvictions(c *candidate) bool {
 	for _, l := range c.touched {
-		if p.clearing[l] {
+		if p.evictingServers[l] {
 			return true
 		}
 	}
 	return false
 }
 
-// candidate is one more copy of a model and what it is worth, in requests
-// answered in time.
+// candidate is one more copy of a model and its value, in requests answered in time.
 type candidate struct {
-	model *fleet.Model
-	acc   *accelerator
-	out   []copyOf // copies that make room for it
-	worth float64
-	// rate is how many requests a second it spares once it is there.
+	model   *fleet.Model
+	acc     *accelerator
+	evicted []modelCopy // copies evicted for it
+	value   float64
+	// rate is how many requests per second it saves once it is loaded.
 	rate float64
-	// touched are the servers whose work it changes.
+	// touched are the servers whose load it changes.
 	touched []*load
-	// weighed are the places of which it is the best one.
-	weighed []*accelerator
+	// evaluated are the accelerators that were compared to choose this one.
+	evaluated []*accelerator
 }
 
-// Rules for what is found of the models' further copies in one decision:
+// Rules for caching the further copies of models within one decision:
 //
-//  1. It is kept until something moves: each load would have it found anew for all models.
-//  2. The first copy of a model only makes its server busier. So only what was reckoned with
-//     that server is found anew: models that stand there, or whose further copy would.
-//  3. After any other move all is found anew: work goes down elsewhere, too.
+//  1. A result is kept until something changes: otherwise each load would recompute it for all models.
+//  2. The first copy of a model only makes its server busier. So only results that depend on that
+//     server are recomputed: those of models resident there, or whose further copy would go there.
+//  3. After any other change everything is recomputed: load decreases elsewhere, too.
 
 func (p *planner) bestMove() *candidate {
 	var best *candidate
 	for _, m := range p.models {
-		c, known := p.found[m.Name]
-		if !known || p.in.afresh {
-			c = p.candidate(m)
-			p.found[m.Name] = c
+		c, cached := p.candidates[m.Name]
+		if !cached || p.in.noCache {
+			c = p.bestCandidate(m)
+			p.candidates[m.Name] = c
 		}
-		if c != nil && (best == nil || c.worth > best.worth) {
+		if c != nil && (best == nil || c.value > best.value) {
 			best = c
 		}
 	}
 	return best
 }
 
-// forgetAt is rule 2 for the first copy of a model on an accelerator.
-func (p *planner) forgetAt(m *fleet.Model, a *accelerator) {
-	delete(p.found, m.Name)
+// invalidateAt is caching rule 2, for the first copy of a model on an accelerator.
+func (p *planner) invalidateAt(m *fleet.Model, a *accelerator) {
+	delete(p.candidates, m.Name)
 	for name := range a.models {
-		delete(p.found, name)
+		delete(p.candidates, name)
 	}
-	for name, c := range p.found {
-		if c != nil && (slices.Contains(c.weighed, a) || slices.Contains(c.touched, a.load)) {
-			delete(p.found, name)
+	for name, c := range p.candidates {
+		if c != nil && (slices.Contains(c.evaluated, a) || slices.Contains(c.touched, a.load)) {
+			delete(p.candidates, name)
 		}
 	}
 }
 
-// candidate returns the best further copy of a model whose servers have more
-// work than they can do well.
-func (p *planner) candidate(m *fleet.Model) *candidate {
-	return p.furtherCopy(m, p.roomFor[m.Name]) // (11)
+// bestCandidate returns the best further copy of a model whose servers have more load than they can
+// serve in time.
+func (p *planner) bestCandidate(m *fleet.Model) *candidate {
+	return p.additionalCopy(m, p.makingRoomFor[m.Name]) // (11)
 }
 
-// furtherCopy returns the best further copy of a model; of those that need no room to be
-// made, if freeOnly.
-func (p *planner) furtherCopy(m *fleet.Model, freeOnly bool) *candidate {
+// additionalCopy returns the best further copy of a model; with freeOnly, only where no room must
+// be made.
+func (p *planner) additionalCopy(m *fleet.Model, freeOnly bool) *candidate {
 	d := p.in.Demand[m.Name]
 	list := p.serving(m)
-	if p.returns(m) { // (15)
+	if p.returnsOnDemand(m) { // (15)
 		if p.in.Deferred[m.Name] || p.in.Idle[m.Name] {
 			return nil
 		}
-		return p.placeFor(m, freeOnly)
+		return p.bestTarget(m, freeOnly)
 	}
 	if d.BusySlots+d.PrefillLoad == 0 || len(list) == 0 || len(list) >= m.MaxCopies {
 		return nil
 	}
-	if !slices.ContainsFunc(list, func(c copyOf) bool { return c.acc.load.late() > 0 }) {
+	if !slices.ContainsFunc(list, func(c modelCopy) bool { return c.acc.load.late() > 0 }) {
 		return nil
 	}
-	return p.placeFor(m, freeOnly)
+	return p.bestTarget(m, freeOnly)
 }
 
-// placeFor returns the best place for one more copy of a model, whatever it is worth.
-func (p *planner) placeFor(m *fleet.Model, freeOnly bool) *candidate {
+// bestTarget returns the best accelerator for one more copy of a model, whatever its value.
+func (p *planner) bestTarget(m *fleet.Model, freeOnly bool) *candidate {
 	var best *candidate
-	atHand, others := p.placesForMore(m, freeOnly)
-	places := []placeForMore{atHand, others} // (12)
-	if p.limited(m) {
-		places = append(places, p.leastMissed(m, freeOnly))
+	cached, others := p.targetsByHeadroom(m, freeOnly)
+	targets := []target{cached, others} // (12)
+	if p.allLimited(m) {
+		targets = append(targets, p.cheapestTarget(m, freeOnly))
 	}
-	for _, at := range places {
-		if at.acc == nil {
+	for _, t := range targets {
+		if t.acc == nil {
 			continue
 		}
-		if c := p.weigh(m, at.acc, at.out); best == nil || c.worth > best.worth {
+		if c := p.evaluate(m, t.acc, t.evicted); best == nil || c.value > best.value {
 			best = &c
 		}
 	}
 	if best != nil {
-		for _, at := range places {
-			best.weighed = append(best.weighed, at.acc)
+		for _, t := range targets {
+			best.evaluated = append(best.evaluated, t.acc)
 		}
 	}
 	return best
 }
 
-// weigh returns what one more copy of a model is worth without those that make room
-// for it (7): what it spares while demand lasts, less what their absence costs until
-// it is there.
-func (p *planner) weigh(m *fleet.Model, acc *accelerator, out []copyOf) candidate {
-	spared, missed, touched := p.spared(m, acc, out)
-	coming := (p.clearTime(out) + p.loadTime(m, acc)).Seconds()
-	requests := spared*max(0, p.lasts(m).Seconds()-coming) - missed*coming
-	return candidate{model: m, acc: acc, out: out, worth: requests * p.fleet.AttainmentWeight, rate: spared, touched: touched}
+// evaluate returns the value of one more copy of a model without the copies that are evicted for it
+// (7): what it saves while demand lasts, less what the evictions cost until it is loaded.
+func (p *planner) evaluate(m *fleet.Model, acc *accelerator, evicted []modelCopy) candidate {
+	gain, loss, touched := p.compareLate(m, acc, evicted)
+	delay := (p.evictionTime(evicted) + p.loadTime(m, acc)).Seconds()
+	requests := gain*max(0, p.benefitDuration(m).Seconds()-delay) - loss*delay
+	return candidate{model: m, acc: acc, evicted: evicted, value: requests * p.fleet.AttainmentWeight, rate: gain, touched: touched}
 }
 
 const (
-	// clearBusy is how long a copy takes to go that requests run on, since it waits for
-	// the longest of them: 3 to 5 s where streams lasted a second on average.
-	clearBusy = 3 * time.Second
-	// clearIdle is the count of requests in service below which a copy goes at once.
-	clearIdle = 0.2
+	// busyEvictionTime is how long the eviction of a copy with running requests takes, since it
+	// waits for the longest of them: 3 to 5 s where streams lasted a second on average.
+	busyEvictionTime = 3 * time.Second
+	// idleRequests is the count of requests in service below which a copy is evicted at once.
+	idleRequests = 0.2
 )
 
-// clearTime is how long copies take to go.
-func (p *planner) clearTime(out []copyOf) time.Duration {
-	for _, c := range out {
+// evictionTime returns how long the eviction of copies takes.
+func (p *planner) evictionTime(evicted []modelCopy) time.Duration {
+	for _, c := range evicted {
 		m := p.fleet.Models[c.resident.Item.Model]
-		if p.in.Demand[m.Name].BusySlots/float64(max(1, len(p.serving(m)))) > clearIdle {
-			return clearBusy
+		if p.in.Demand[m.Name].BusySlots/float64(max(1, len(p.serving(m)))) > idleRequests {
+			return busyEvictionTime
 		}
 	}
 	return 0
 }
 
-// loadTime is how long a load of the model lasts on an accelerator.
+// loadTime returns how long loading the model on an accelerator takes.
 func (p *planner) loadTime(m *fleet.Model, a *accelerator) time.Duration {
-	if p.atHand(m, a) {
+	if p.isCached(m, a) {
 		return m.WarmTime
 	}
 	return m.LoadTime
 }
 
-// absent is how many requests a second are late, or not served, because a model has no
-// copy (7).
-func (p *planner) absent(m *fleet.Model) float64 {
+// unserved returns how many requests per second are late or not served because a model has no copy
+// (7).
+func (p *planner) unserved(m *fleet.Model) float64 {
 	if len(p.serving(m)) > 0 {
 		return 0
 	}
-	return p.absentRate(m)
+	return p.unservedRate(m)
 }
 
-// absentLeast is the rate, in requests a second, at which a model without a copy is missed at
-// least. What was not asked for lately may be soon, and a copy that came back costs more than the
-// requests that missed it: an order or two, a load of seconds in which room is made, and the copies
-// that went for it. Too high, it takes copies from models that are asked for all the time.
-const absentLeast = 1.5
-
-// absentRate is the rate at which requests miss a model without a copy (15). Of models that nobody asks for the more may be
-// asked for soon, the more of them there are places for.
-func (p *planner) absentRate(m *fleet.Model) float64 {
-	least := absentLeast
-	if !p.isAsked(m) {
-		least *= min(1, p.roomShare)
-	}
-	rate := max(least, p.steady(m))
-	if now := p.in.Demand[m.Name].Requests; now >= rareBelow {
+// minUnservedRate is the lowest rate, in requests per second, at which a model without a copy is
+// assumed to miss requests. A model without recent requests may be requested soon, and bringing
+// back its copy costs more than the missed requests: an order or two, a load of seconds in which
+// memory is freed, and the copies evicted for it. If the value is too high, it takes copies from
+// models that are requested all the time.
+const minUnservedRate = 1.5
+
+// unservedRate returns the rate of requests that a model misses without a copy (15). For models
+// without demand its minimum is scaled by the share of all models that fit at once: the more of
+// them fit, the more of them may be requested soon.
+func (p *planner) unservedRate(m *fleet.Model) float64 {
+	minRate := minUnservedRate
+	if !p.isRequested(m) {
+		minRate *= min(1, p.capacityShare)
+	}
+	rate := max(minRate, p.longTermRate(m))
+	if now := p.in.Demand[m.Name].Requests; now >= rareRate {
 		rate = max(rate, now)
 	}
 	return rate
 }
 
-// steady is the rate of requests for a model over a longer time.
-func (p *planner) steady(m *fleet.Model) float64 {
+// longTermRate returns the rate of requests for a model over a longer time.
+func (p *planner) longTermRate(m *fleet.Model) float64 {
 	d := p.in.Demand[m.Name]
 	return cmp.Or(d.LongTermRequests, d.Requests)
 }
 
-// spared returns how many requests a second fewer come too late with one more
-// copy of the model and without those that make room for it, and how many more
-// while they are gone and it has not come. Each move that is made lowers the sum
-// over all servers, so that moves come to an end (7). It returns the servers whose
-// work changes, too.
-func (p *planner) spared(m *fleet.Model, acc *accelerator, out []copyOf) (spared, missed float64, all []*load) {
+// compareLate returns how many fewer requests per second are late with one more copy of the model
+// and without the evicted ones (gain), and how many more are late while those are evicted and the
+// copy is not loaded yet (loss). Each move lowers the sum over all servers, so that moves end (7).
+// It also returns the servers whose load changes.
+func (p *planner) compareLate(m *fleet.Model, acc *accelerator, evicted []modelCopy) (gain, loss float64, servers []*load) {
 	touched := map[*load]load{acc.load: *acc.load}
 	models := []*fleet.Model{m}
-	for _, c := range out {
+	for _, c := range evicted {
 		models = append(models, p.fleet.Models[c.resident.Item.Model])
 	}
-	copies := map[string][]copyOf{}
+	copies := map[string][]modelCopy{}
 	for _, x := range models {
 		copies[x.Name] = slices.Clone(p.copies[x.Name])
 		for _, c := range p.serving(x) {
 			touched[c.acc.load] = *c.acc.load
 		}
 	}
-	before := lateOf(touched) + p.absentOf(models)
-	for _, c := range out {
+	before := totalLate(touched) + p.totalUnserved(models)
+	for _, c := range evicted {
 		p.dropCopy(p.fleet.Models[c.resident.Item.Model], c)
 	}
-	between := lateOf(touched) + p.absentOf(models)
-	p.addCopy(m, copyOf{acc, &wire.Resident{Server: acc.server.Name, Item: &wire.Item{Model: m.Name, Version: m.Version}, Phase: wire.Phase_PHASE_LOADING}})
-	after := lateOf(touched) + p.absentOf(models)
-	for l, was := range touched {
-		*l = was
+	whileEvicted := totalLate(touched) + p.totalUnserved(models)
+	p.addCopy(m, modelCopy{acc, &wire.Resident{Server: acc.server.Name, Item: &wire.Item{Model: m.Name, Version: m.Version}, Phase: wire.Phase_PHASE_LOADING}})
+	after := totalLate(touched) + p.totalUnserved(models)
+	for l, saved := range touched {
+		*l = saved
 	}
 	for name, list := range copies {
 		p.copies[name] = list
-		delete(p.served, name)
+		delete(p.servingCache, name)
 	}
-	return before - after, between - before, slices.Collect(maps.Keys(touched))
+	return before - after, whileEvicted - before, slices.Collect(maps.Keys(touched))
 }
 
-func (p *planner) absentOf(list []*fleet.Model) (sum float64) {
+func (p *planner) totalUnserved(list []*fleet.Model) (sum float64) {
 	for _, m := range list {
-		sum += p.absent(m)
+		sum += p.unserved(m)
 	}
 	return sum
 }
 
-// lateOf sums in the order of size, since sums of fractions depend on it.
-func lateOf(loads map[*load]load) (sum float64) {
+// totalLate adds in sorted order, since floating-point sums depend on it.
+func totalLate(loads map[*load]load) (sum float64) {
 	var list []float64
 	for l := range loads {
 		list = append(list, l.late())
@@ -346,66 +343,67 @@
 	return sum
 }
 
-// placeForMore is an accelerator on which a copy fits once some others are gone, and the room
-// for work that its server has then.
-type placeForMore struct {
-	acc  *accelerator
-	out  []copyOf
-	room float64
+// target is an accelerator on which a copy fits once some others are evicted, and the headroom that
+// its server then has.
+type target struct {
+	acc      *accelerator
+	evicted  []modelCopy
+	headroom float64
 }
 
-// placesForMore returns the accelerators of the servers with the most room for
-// work, less the work of copies that must go, on which the copy fits or can be made to
-// fit: of those that have the model at hand, and of the others.
-func (p *planner) placesForMore(m *fleet.Model, freeOnly bool) (atHand, others placeForMore) {
-	sparing := p.sparing(m, false)
+// targetsByHeadroom returns the accelerators of the servers with the most headroom, less the load
+// of copies that must be evicted, on which the copy fits or can be made to fit: one among those
+// that have the model cached, and one among the others.
+func (p *planner) targetsByHeadroom(m *fleet.Model, freeOnly bool) (cached, others target) {
+	mode := p.evictionModeFor(m, false)
 	for _, a := range p.accs {
 		best := &others
-		if p.atHand(m, a) {
-			best = &atHand
+		if p.isCached(m, a) {
+			best = &cached
 		}
-		at := placeForMore{acc: a, room: a.load.room()}
-		// Copies that go only take from the room: where that is no more to begin with they need not be looked at.
-		if best.acc != nil && !betterForMore(at, *best) || !p.mayHold(m, a) {
+		t := target{acc: a, headroom: a.load.headroom()}
+		// Evictions only reduce the headroom: if it is too small before them, they need not be
+		// searched for.
+		if best.acc != nil && !betterTarget(t, *best) || !p.canPlace(m, a) {
 			continue
 		}
-		if lack := int64(m.Footprint()) - a.free; lack > 0 {
+		if missing := int64(m.Footprint()) - a.free; missing > 0 {
 			if freeOnly {
 				continue
 			}
-			out, use, ok := p.spare(a, lack, sparing)
+			evicted, utilization, ok := p.selectEvictions(a, missing, mode)
 			if !ok {
 				continue
 			}
-			at.out = out
-			at.room -= use // what the copies in the way do must be done elsewhere
+			t.evicted = evicted
+			t.headroom -= utilization // the load of the evicted copies moves elsewhere
 		}
-		if best.acc == nil || betterForMore(at, *best) {
-			*best = at
+		if best.acc == nil || betterTarget(t, *best) {
+			*best = t
 		}
 	}
-	return atHand, others
+	return cached, others
 }
 
-// betterForMore prefers servers without a limit, then those with more room.
-func betterForMore(a, b placeForMore) bool {
+// betterTarget prefers servers without a limit, then those with more headroom.
+func betterTarget(a, b target) bool {
 	if limitedA, limitedB := a.acc.load.limit != 0, b.acc.load.limit != 0; limitedA != limitedB {
 		return limitedB
 	}
-	return a.room > b.room
+	return a.headroom > b.headroom
 }
 
-// move loads the copy, or first makes room for it.
-func (p *planner) move(c *candidate) {
-	if len(c.out) == 0 {
+// perform loads the copy, or first makes room for it.
+func (p *planner) perform(c *candidate) {
+	if len(c.evicted) == 0 {
 		d := p.in.Demand[c.model.Name]
-		p.load(c.model, c.acc, fmt.Sprintf("demand of %.1f requests a second on %d copies", d.Requests, len(p.serving(c.model))))
+		p.loadCopy(c.model, c.acc, fmt.Sprintf("demand of %.1f requests per second on %d copies", d.Requests, len(p.serving(c.model))))
 		return
 	}
 	for _, l := range c.touched {
-		p.clearing[l] = true
+		p.evictingServers[l] = true
 	}
-	for _, out := range c.out {
-		p.evict(out, c.model.Name)
+	for _, evicted := range c.evicted {
+		p.evict(evicted, c.model.Name)
 	}
 }
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -7,27 +7,29 @@
 	"leverdrum/fleet"
 )
 
-// Rules for servers that name a limit (package throttle):
+// Rules for servers that report a limit (package throttle):
 //
-//  1. A copy there has a part of the limit: what it is by the models that stand there. Boxes send it no more while
-//     others have room, so the rest of its model's demand is booked on the copies without a limit.
-//  2. Where all copies of a model are on such servers, what they do not bear is missed, as if it
-//     came too late: a reason for another copy elsewhere.
+//  1. A copy there has at most an equal share of the limit, by the number of models resident there. Boxes
+//     send it no more while others have headroom, so the rest of its model's demand is assigned to
+//     the copies without a limit.
+//  2. Where all copies of a model are on such servers, the requests that they do not admit count as
+//     late: a reason for another copy elsewhere.
 //  3. A further copy goes to a server without a limit first.
-//  4. Such a copy needs little room for work: the rate of a limited server is small. So where the copies that make room for it
-//     are missed least is weighed, too, and not only where most room for work is.
-//     It stays as long as no other copy is on a server without a limit: it is missed like a last one.
-//  5. What a limited server does not bear is missed for longer than demand lasts: the server is in need, and demand comes
-//     to it as to the others.
-//  6. A server that rests to many boxes for long counts as one with a limit of next to nothing.
+//  4. Such a copy needs little headroom: the rate of a limited server is small. So the accelerator
+//     where evictions cost the fewest requests is evaluated, too, and not only the one with the most
+//     headroom. The copy stays as long as no other copy is on a server without a limit: its eviction
+//     costs as much as that of a last copy.
+//  5. What a limited server does not admit is missed for longer than demand lasts: the server is
+//     in trouble, and demand reaches it as it does the others.
+//  6. A server that is in backoff for many boxes for long counts as one with a limit close to zero.
 
-// restingLimit stands for the limit of a server that rests, in requests a second (6).
-const restingLimit = 0.05
+// backoffLimit is the limit assumed for a server in backoff, in requests per second (6).
+const backoffLimit = 0.05
 
-// limitOf returns the limit of a server, in requests a second; 0 for none.
+// limitOf returns the limit of a server, in requests per second; 0 means none.
 func (p *planner) limitOf(server string) float64 {
 	if p.in.InBackoff[server] {
-		return restingLimit
+		return backoffLimit
 	}
 	if len(p.in.State.Limits) == 0 {
 		return 0
@@ -35,94 +37,95 @@
 	return p.in.State.LimitOf(server).PerSecond()
 }
 
-// unlimited reports whether no server has a limit.
-func (p *planner) unlimited() bool { return len(p.in.State.Limits) == 0 && len(p.in.InBackoff) == 0 }
+// noLimits reports whether no server has a limit.
+func (p *planner) noLimits() bool { return len(p.in.State.Limits) == 0 && len(p.in.InBackoff) == 0 }
 
-// limitPart is the most that one copy on a limited server has of its limit (1).
-func limitPart(a *accelerator) float64 { return a.load.limit / float64(max(1, a.stood)) }
+// limitPerCopy returns the share of a server's limit that one copy on it has at most (1).
+func limitPerCopy(a *accelerator) float64 { return a.load.limit / float64(max(1, a.initialModels)) }
 
-// parts are the shares of a model's demand that its copies take, in their order; nil where they are equal.
-func (p *planner) parts(m *fleet.Model, list []copyOf) []float64 {
-	if p.unlimited() {
+// demandShares returns the shares of a model's demand that its copies serve, in their order, or nil
+// if they are equal.
+func (p *planner) demandShares(m *fleet.Model, list []modelCopy) []float64 {
+	if p.noLimits() {
 		return nil
 	}
-	asked := p.in.Demand[m.Name].Requests
+	demand := p.in.Demand[m.Name].Requests
 	equal := 1 / float64(max(1, len(list)))
-	parts := make([]float64, len(list))
-	rest, free := 1.0, 0
+	shares := make([]float64, len(list))
+	remaining, unlimited := 1.0, 0
 	for i, c := range list {
-		if c.acc.load.limit == 0 || asked == 0 {
-			free++
+		if c.acc.load.limit == 0 || demand == 0 {
+			unlimited++
 			continue
 		}
-		parts[i] = min(equal, limitPart(c.acc)/asked)
-		rest -= parts[i]
+		shares[i] = min(equal, limitPerCopy(c.acc)/demand)
+		remaining -= shares[i]
 	}
-	if free == 0 { // (2)
+	if unlimited == 0 { // (2)
 		return nil
 	}
 	for i, c := range list {
-		if c.acc.load.limit == 0 || asked == 0 {
-			parts[i] = rest / float64(free)
+		if c.acc.load.limit == 0 || demand == 0 {
+			shares[i] = remaining / float64(unlimited)
 		}
 	}
-	return parts
+	return shares
 }
 
-// limitLasts is how long a server is taken to go on naming a limit (5).
-const limitLasts = 30 * time.Second
+// limitDuration is how long a server is assumed to keep reporting a limit (5).
+const limitDuration = 30 * time.Second
 
-// lasts is how long one more copy of a model is taken to be of use.
-func (p *planner) lasts(m *fleet.Model) time.Duration {
-	if p.limited(m) {
-		return max(p.fleet.DemandLasts, limitLasts)
+// benefitDuration returns how long one more copy of a model is assumed to be useful.
+func (p *planner) benefitDuration(m *fleet.Model) time.Duration {
+	if p.allLimited(m) {
+		return max(p.fleet.DemandLasts, limitDuration)
 	}
 	return p.fleet.DemandLasts
 }
 
-// limited reports whether all copies of a model stand on servers with a limit.
-func (p *planner) limited(m *fleet.Model) bool {
-	if p.unlimited() {
+// allLimited reports whether all copies of a model are on servers with a limit.
+func (p *planner) allLimited(m *fleet.Model) bool {
+	if p.noLimits() {
 		return false
 	}
 	list := p.serving(m)
-	return len(list) > 0 && !slices.ContainsFunc(list, func(c copyOf) bool { return c.acc.load.limit == 0 })
+	return len(list) > 0 && !slices.ContainsFunc(list, func(c modelCopy) bool { return c.acc.load.limit == 0 })
 }
 
-// leastMissed is rule 4.
-func (p *planner) leastMissed(m *fleet.Model, freeOnly bool) (best placeForMore) {
-	least := 0.0
+// cheapestTarget is rule 4.
+func (p *planner) cheapestTarget(m *fleet.Model, freeOnly bool) (best target) {
+	minCost := 0.0
 	for _, a := range p.accs {
-		if a.load.limit != 0 || !p.mayHold(m, a) {
+		if a.load.limit != 0 || !p.canPlace(m, a) {
 			continue
 		}
-		at := placeForMore{acc: a}
-		if lack := int64(m.Footprint()) - a.free; lack > 0 {
+		t := target{acc: a}
+		if missing := int64(m.Footprint()) - a.free; missing > 0 {
 			if freeOnly {
 				continue
 			}
-			out, _, ok := p.spare(a, lack, p.sparing(m, false))
+			evicted, _, ok := p.selectEvictions(a, missing, p.evictionModeFor(m, false))
 			if !ok {
 				continue
 			}
-			at.out = out
+			t.evicted = evicted
 		}
-		missed := 0.0
-		for _, c := range at.out {
-			missed += p.lacked(c)
+		cost := 0.0
+		for _, c := range t.evicted {
+			cost += p.evictionCost(c)
 		}
-		if best.acc == nil || missed < least {
-			best, least = at, missed
+		if best.acc == nil || cost < minCost {
+			best, minCost = t, cost
 		}
 	}
 	return best
 }
 
-// onlyFree reports whether all other copies of a model are on servers with a limit: then this one is missed like a
-// last one.
-func (p *planner) onlyFree(m *fleet.Model, c copyOf) bool {
-	if p.unlimited() || c.acc.load.limit != 0 {
+// onlyUnlimitedCopy reports whether all other copies of a model are on servers with a limit: then
+// evicting this one costs as much as evicting the last copy.
+func (p *planner) onlyUnlimitedCopy(m *fleet.Model, c modelCopy) bool {
+	if p.noLimits() || c.acc.load.limit != 0 {
 		return false
 	}
-	return !slices.ContainsFunc(p.serving(m), func(other copyOf) bool { return other.acc != c.acc && other.acc.load.limit == 0 })
+	return !slices.ContainsFunc(p.serving(m), func(other modelCopy) bool { return other.acc != c.acc && other.acc.load.limit == 0 })
 }
--- a/placement/limits_test.go
+++ b/placement/limits_test.go
@@ -12,12 +12,12 @@
 	"leverdrum/wire"
 )
 
-// limitOn has a server's limit agreed, in requests a second.
-func limitOn(st *state.State, server string, perSecond float64) {
+// setLimit applies a limit of a server, in requests per second.
+func setLimit(st *state.State, server string, perSecond float64) {
 	standin.Agree(st, &wire.Command{Kind: &wire.Command_Limit{Limit: &wire.ServerLimit{Server: server, Milli: uint32(1000 * perSecond)}}})
 }
 
-const limitedFleet = two + `
+const limitedFleet = threeServers + `
 [model m]
 memory = 5GiB
 class = c
@@ -30,31 +30,31 @@
 max-copies = 3
 `
 
-var _ = Describe("servers that name a limit", func() {
+var _ = Describe("servers that report a limit", func() {
 	demand := map[string]placement.Demand{"m": {Requests: 8, BusySlots: 2}}
 
-	It("are a reason for another copy elsewhere where they alone hold the model", func() {
-		st := agreed(limitedFleet)
-		settle(st, demand)
-		Expect(copies(st, "m", "1")).To(HaveLen(1), "one copy is enough")
-		holder := copies(st, "m", "1")[0]
-		limitOn(st, holder, 1)
-		settle(st, demand)
-		Expect(copies(st, "m", "1")).To(HaveLen(2), "and no more once the other has room")
+	It("cause another copy elsewhere where no other server has the model", func() {
+		st := newState(limitedFleet)
+		converge(st, demand)
+		Expect(readyOn(st, "m", "1")).To(HaveLen(1), "one copy is enough")
+		holder := readyOn(st, "m", "1")[0]
+		setLimit(st, holder, 1)
+		converge(st, demand)
+		Expect(readyOn(st, "m", "1")).To(HaveLen(2), "and no more once the other has headroom")
 	})
 
-	It("get no copy while another server has room", func() {
-		st := agreed(limitedFleet)
-		limitOn(st, "s1", 1)
-		limitOn(st, "s2", 1)
-		settle(st, demand)
-		Expect(copies(st, "m", "1")).To(ContainElement("s3"))
+	It("get no copy while another server has headroom", func() {
+		st := newState(limitedFleet)
+		setLimit(st, "s1", 1)
+		setLimit(st, "s2", 1)
+		converge(st, demand)
+		Expect(readyOn(st, "m", "1")).To(ContainElement("s3"))
 	})
 
-	It("move nothing where nobody asks for more than they take", func() {
-		st := agreed(limitedFleet)
-		settle(st, demand)
-		limitOn(st, copies(st, "m", "1")[0], 100)
+	It("cause no move while demand is within their limit", func() {
+		st := newState(limitedFleet)
+		converge(st, demand)
+		setLimit(st, readyOn(st, "m", "1")[0], 100)
 		plan := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		Expect(plan.Decisions).To(BeEmpty())
 	})
--- a/placement/load.go
+++ b/placement/load.go
@@ -2,85 +2,87 @@
 
 import "math"
 
-// load is the work of one server.
+// load is the load of one server.
 type load struct {
-	work     float64 // places taken on average
-	size     float64 // places that it has
-	reading  float64 // share of its time in which it reads prompts
-	requests float64 // a second
-	good     float64 // share of the places up to which answers come in time
-	limit    float64 // requests a second that its server says it takes; 0: it says none
+	busySlots float64 // slots in use on average
+	slots     float64 // slots that it has
+	prefill   float64 // share of its time spent on prefill
+	requests  float64 // per second
+	goodUse   float64 // utilization up to which answers come in time
+	limit     float64 // requests per second that its server reports to admit; 0: no limit
 }
 
-// readingFull is the share of a server's time in which it reads prompts at which about all
-// its answers come late. Reading holds up each stream that runs beside it: the share of
-// streams that are late is about the square of the share of reading over this.
-const readingFull = 0.8
+// prefillSaturation is the share of a server's time spent on prefill at which almost all its
+// answers are late. Prefill delays each stream that runs beside it: the share of late streams is
+// about the square of the prefill share divided by this.
+const prefillSaturation = 0.8
 
-// add books a part of a model's demand.
-func (l *load) add(d Demand, part float64) {
-	l.work += part * d.BusySlots
-	l.reading += part * d.PrefillLoad
-	l.requests += part * d.Requests
+// add adds a share of a model's demand.
+func (l *load) add(d Demand, share float64) {
+	l.busySlots += share * d.BusySlots
+	l.prefill += share * d.PrefillLoad
+	l.requests += share * d.Requests
 }
 
-// use is the part of the server that is taken: of its places or of its time, whichever is
-// scarcer, or of the requests that it takes.
-func (l *load) use() float64 { return max(l.work/l.size, l.reading, l.ofLimit()) }
+// utilization is the used part of the server: of its slots, its time or its limit, whichever is
+// scarcest.
+func (l *load) utilization() float64 {
+	return max(l.busySlots/l.slots, l.prefill, l.limitUtilization())
+}
 
-// ofLimit is the share of the server's limit that is asked for, 0 where it has none.
-func (l *load) ofLimit() float64 {
+// limitUtilization is the share of the server's limit that demand takes, or 0 if it has none.
+func (l *load) limitUtilization() float64 {
 	if l.limit == 0 {
 		return 0
 	}
 	return l.requests / l.limit
 }
 
-// room is the use that is left up to good use.
-func (l *load) room() float64 { return l.good - l.use() }
+// headroom is the utilization left up to goodUse.
+func (l *load) headroom() float64 { return l.goodUse - l.utilization() }
 
-// late is how many requests a second come too late.
+// late returns how many requests per second are late.
 func (l *load) late() float64 {
-	return max(l.lateByPlaces(), l.lateByReading(), l.refusedByLimit()) * l.requests
+	return max(l.lateBySlots(), l.lateByPrefill(), l.refusedByLimit()) * l.requests
 }
 
-// lateByPlaces is the share that is late for want of places: none up to good use, and from
-// there it grows with the square, since queues form only now and then. fullLate is the
-// share at a full server; beyond that as many are in time as there.
-func (l *load) lateByPlaces() float64 {
-	use, full := l.work/l.size, fullLate(l.good)
+// lateBySlots is the share of requests that are late for lack of slots. It is zero up to goodUse
+// and then grows quadratically, since queues form only now and then, to lateWhenFull at a full
+// server. Beyond that, as many requests are in time as at a full server.
+func (l *load) lateBySlots() float64 {
+	utilization, lateFull := l.busySlots/l.slots, lateWhenFull(l.goodUse)
 	switch {
-	case use <= l.good:
+	case utilization <= l.goodUse:
 		return 0
-	case use < 1:
-		step := (use - l.good) / (1 - l.good)
-		return full * step * step
+	case utilization < 1:
+		step := (utilization - l.goodUse) / (1 - l.goodUse)
+		return lateFull * step * step
 	}
-	return 1 - (1-full)/use
+	return 1 - (1-lateFull)/utilization
 }
 
-// fullLate is the most that may be late at a full server without one more request ever
-// lowering how many are in time: u(1-f((u-good)/(1-good))²) has its maximum at u = 1 then.
-func fullLate(good float64) float64 { return (1 - good) / (3 - good) }
+// lateWhenFull is the largest share that may be late at a full server such that one more request
+// never lowers the number in time: u(1-f((u-good)/(1-good))²) then has its maximum at u = 1.
+func lateWhenFull(goodUse float64) float64 { return (1 - goodUse) / (3 - goodUse) }
 
-// refusedByLimit is the share that the server's limit does not bear.
+// refusedByLimit is the share of requests that exceeds the server's limit.
 func (l *load) refusedByLimit() float64 {
-	if of := l.ofLimit(); of > 1 {
-		return 1 - 1/of
+	if utilization := l.limitUtilization(); utilization > 1 {
+		return 1 - 1/utilization
 	}
 	return 0
 }
 
-// knee is the share of reading up to which more requests are in time the more come, and
-// lateAtKnee the share that is late there: x(1-x²) has its maximum at 1/√3.
-var knee, lateAtKnee = readingFull / math.Sqrt(3), 1.0 / 3
+// knee is the prefill share up to which more requests mean more requests in time, and lateAtKnee
+// the share that is late there: x(1-x²) has its maximum at 1/√3.
+var knee, lateAtKnee = prefillSaturation / math.Sqrt(3), 1.0 / 3
 
-// lateByReading is the share that is held up by the reading of prompts. Beyond the knee
-// requests are turned away, and as many are in time as at the knee.
-func (l *load) lateByReading() float64 {
-	if l.reading > knee {
-		return 1 - (1-lateAtKnee)*knee/l.reading
+// lateByPrefill is the share of requests that are delayed by prefill. Beyond the knee requests are
+// rejected, and as many are in time as at the knee.
+func (l *load) lateByPrefill() float64 {
+	if l.prefill > knee {
+		return 1 - (1-lateAtKnee)*knee/l.prefill
 	}
-	step := max(0, l.reading) / readingFull
+	step := max(0, l.prefill) / prefillSaturation
 	return step * step
 }
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -11,83 +11,83 @@
 	"leverdrum/wire"
 )
 
-// need is one model that lacks a copy, whatever its demand (1).
+// need is a model with fewer copies than its minimum, whatever its demand (1).
 type need struct {
-	model *fleet.Model
-	have  int
-	least int
+	model     *fleet.Model
+	have      int
+	minCopies int
 }
 
-func (n need) why() string {
+func (n need) reason() string {
 	if n.have == 0 {
 		return "no copy"
 	}
-	return fmt.Sprintf("%d of %d copies", n.have, n.least)
+	return fmt.Sprintf("%d of %d copies", n.have, n.minCopies)
 }
 
-// rareBelow is the rate, in requests a second, below which the last copy of a model may go
-// where the server has it at hand (15): well above that of the models that are asked for
-// every two seconds or so, and below that of those that are asked for all the time.
-const rareBelow = 2
+// rareRate is the rate, in requests per second, below which the last copy of a model may be evicted
+// where the server has it cached (15): well above that of models requested every two seconds or so,
+// and below that of models requested all the time.
+const rareRate = 2
 
-// reservation is a place for a model that is loaded later.
+// reservation is memory reserved for a model that is loaded later.
 type reservation struct {
 	need need
 	acc  *accelerator
 }
 
-// isAsked reports whether a model is asked for, now or now and then, or requests wait for it.
-func (p *planner) isAsked(m *fleet.Model) bool {
+// isRequested reports whether a model has demand, now or on average, or requests wait for it.
+func (p *planner) isRequested(m *fleet.Model) bool {
 	d := p.in.Demand[m.Name]
 	return d.Requests > 0 || d.LongTermRequests > 0 || p.in.Awaited[m.Name]
 }
 
-// mostWithoutRoom is the share of all models that there is room for below which models that nobody asks for do without a
-// copy (17): a fleet that has lost half of its servers still places each model that fits beside the last copies of others.
-const mostWithoutRoom = 0.5
+// minCapacityShare is the share of all models that fit at once below which models without demand
+// stay without a copy (17). With 0.5, a fleet that has lost half of its servers still places each
+// model that fits beside the last copies of others.
+const minCapacityShare = 0.5
 
-// anyAskedOf reports whether one of some copies is of a model that is asked for.
-func (p *planner) anyAskedOf(copies []copyOf) bool {
-	return slices.ContainsFunc(copies, func(c copyOf) bool { return p.isAsked(p.fleet.Models[c.resident.Item.Model]) })
+// anyRequested reports whether one of the copies is of a model that is requested.
+func (p *planner) anyRequested(copies []modelCopy) bool {
+	return slices.ContainsFunc(copies, func(c modelCopy) bool { return p.isRequested(p.fleet.Models[c.resident.Item.Model]) })
 }
 
-func (p *planner) asksFor(m *fleet.Model) bool { return p.in.Demand[m.Name].Requests > 0 }
+func (p *planner) hasDemand(m *fleet.Model) bool { return p.in.Demand[m.Name].Requests > 0 }
 
-// loadNeeds orders the loads of models that have their room: those that are asked
-// for beside what demand moves, by what each spares, and the others behind all that
-// demand asks for (1).
-func (p *planner) loadNeeds() {
-	for _, r := range p.reserved {
-		p.followAbove(p.in.Demand[r.need.model.Name].Requests)
-		if r.acc.busy || !p.mayLoad() && !p.atHand(r.need.model, r.acc) {
+// loadReserved orders the loads of models with reserved memory. Models with demand are ordered
+// among the moves for demand by the requests that each saves, the others after all of them (1).
+func (p *planner) loadReserved() {
+	for _, r := range p.reservations {
+		p.moveAbove(p.in.Demand[r.need.model.Name].Requests)
+		if r.acc.busy || !p.mayLoad() && !p.isCached(r.need.model, r.acc) {
 			continue
 		}
 		r.acc.free += int64(r.need.model.Footprint())
-		p.load(r.need.model, r.acc, r.need.why())
+		p.loadCopy(r.need.model, r.acc, r.need.reason())
 	}
-	p.followAbove(0)
+	p.moveAbove(0)
 }
 
-// reserve keeps room for a model.
+// reserve reserves memory for a model.
 func (p *planner) reserve(n need, a *accelerator) {
-	p.best = nil // it reckoned with this room
-	p.noteChange(n.model, a)
+	p.best = nil // it was computed with this memory free
+	p.recordChange(n.model, a)
 	a.free -= int64(n.model.Footprint())
 	a.models[n.model.Name] = true
-	p.reserved = append(p.reserved, reservation{n, a})
+	p.reservations = append(p.reservations, reservation{n, a})
 }
 
-// fillNeeds keeps or makes room for what has no copy, and then for what has too few
+// reserveForNeeds reserves or frees memory for models without a copy, then for those with too few
 // (1).
-func (p *planner) fillNeeds() {
-	slots := p.fleet.LoadsAtOnce - p.loads
+func (p *planner) reserveForNeeds() {
+	loadsLeft := p.fleet.LoadsAtOnce - p.openLoads
 	for _, n := range p.needs() {
-		best := p.bestPlace(n.model)
-		if best == nil || !p.atHand(n.model, best) {
-			if slots <= 0 { // room that no load uses soon is only missed
+		best := p.bestAccelerator(n.model)
+		if best == nil || !p.isCached(n.model, best) {
+			if loadsLeft <= 0 { // room that no load uses soon only costs the evicted copies
 				continue
 			}
-			slots--
+			loadsLeft--
 		}
 		if best == nil || p.fasterElsewhere(n, best) {
 			p.makeRoom(n)
@@ -97,352 +97,360 @@
 	}
 }
 
-// fasterElsewhere reports whether a model that is asked for comes sooner by room made
-// on a server that has it at hand than on one with free room (12).
+// fasterElsewhere reports whether a model with demand is loaded sooner by making room on a server
+// that has it cached than on one with free memory (12).
 func (p *planner) fasterElsewhere(n need, a *accelerator) bool {
-	if !p.asksFor(n.model) || p.atHand(n.model, a) || p.in.Deferred[n.model.Name] || p.roomFor[n.model.Name] {
+	if !p.hasDemand(n.model) || p.isCached(n.model, a) || p.in.Deferred[n.model.Name] || p.makingRoomFor[n.model.Name] {
 		return false
 	}
-	best := p.leastHarm(n)
-	return best != nil && p.atHand(n.model, best.acc) && best.worth > p.weigh(n.model, a, nil).worth
+	best := p.cheapestEviction(n)
+	return best != nil && p.isCached(n.model, best.acc) && best.value > p.evaluate(n.model, a, nil).value
 }
 
 func (p *planner) needs() []need {
 	var list []need
 	for _, m := range p.models {
-		if have := len(p.serving(m)); have < p.least(m) && !p.returns(m) {
-			list = append(list, need{m, have, p.least(m)})
+		if have := len(p.serving(m)); have < p.minCopies(m) && !p.returnsOnDemand(m) {
+			list = append(list, need{m, have, p.minCopies(m)})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b need) int {
-		return cmp.Or(cmp.Compare(min(a.have, 1), min(b.have, 1)), p.askedFirst(a, b), cmp.Compare(b.model.Priority, a.model.Priority),
+		return cmp.Or(cmp.Compare(min(a.have, 1), min(b.have, 1)), p.compareDemand(a, b), cmp.Compare(b.model.Priority, a.model.Priority),
 			cmp.Compare(p.in.Demand[b.model.Name].Requests, p.in.Demand[a.model.Name].Requests))
 	})
 	return list
 }
 
-func (p *planner) askedFirst(a, b need) int {
-	switch asksA, asksB := p.asksFor(a.model), p.asksFor(b.model); {
-	case asksA == asksB:
+func (p *planner) compareDemand(a, b need) int {
+	switch demandA, demandB := p.hasDemand(a.model), p.hasDemand(b.model); {
+	case demandA == demandB:
 		return 0
-	case asksA:
+	case demandA:
 		return -1
 	}
 	return 1
 }
 
-// serving returns the ready and coming copies of the wanted version on servers
-// that work. The list must not be changed.
-func (p *planner) serving(m *fleet.Model) []copyOf {
-	if list, known := p.served[m.Name]; known && !p.in.afresh {
+// serving returns the ready and loading copies of the wanted version on usable servers. The caller
+// must not change the list.
+func (p *planner) serving(m *fleet.Model) []modelCopy {
+	if list, cached := p.servingCache[m.Name]; cached && !p.in.noCache {
 		return list
 	}
-	var list []copyOf
+	var list []modelCopy
 	for _, c := range p.copies[m.Name] {
 		if c.resident.Item.Version == m.Version && c.resident.Phase != wire.Phase_PHASE_UNLOADING && !c.acc.unusable {
 			list = append(list, c)
 		}
 	}
-	p.served[m.Name] = list
+	p.servingCache[m.Name] = list
 	return list
 }
 
-// bestPlace is rule 2.
-func (p *planner) bestPlace(m *fleet.Model) *accelerator {
+// bestAccelerator is rule 2.
+func (p *planner) bestAccelerator(m *fleet.Model) *accelerator {
 	halls := map[string]bool{}
 	for _, c := range p.serving(m) {
 		halls[c.acc.server.Hall] = true
 	}
 	var best *accelerator
 	for _, a := range p.accs {
-		if p.fits(m, a) && (best == nil || p.better(m, a, best, halls)) {
+		if p.fits(m, a) && (best == nil || p.preferred(m, a, best, halls)) {
 			best = a
 		}
 	}
 	return best
 }
 
-// mayHold reports whether a copy may stand on an accelerator if it had room.
-func (p *planner) mayHold(m *fleet.Model, a *accelerator) bool {
+// canPlace reports whether a copy may be placed on an accelerator if it had enough memory.
+func (p *planner) canPlace(m *fleet.Model, a *accelerator) bool {
 	return !a.busy && !a.models[m.Name] && m.MayRunOn(a.server)
 }
 
 func (p *planner) fits(m *fleet.Model, a *accelerator) bool {
-	return p.mayHold(m, a) && a.free >= int64(m.Footprint())
+	return p.canPlace(m, a) && a.free >= int64(m.Footprint())
 }
 
-func (p *planner) better(m *fleet.Model, a, b *accelerator, halls map[string]bool) bool {
+func (p *planner) preferred(m *fleet.Model, a, b *accelerator, halls map[string]bool) bool {
 	if limitedA, limitedB := a.load.limit != 0, b.load.limit != 0; limitedA != limitedB {
 		return limitedB
 	}
-	if handA, handB := p.atHand(m, a), p.atHand(m, b); handA != handB { // (12)
-		return handA
+	if cachedA, cachedB := p.isCached(m, a), p.isCached(m, b); cachedA != cachedB { // (12)
+		return cachedA
 	}
-	if newA, newB := !halls[a.server.Hall], !halls[b.server.Hall]; newA != newB {
-		return newA
+	if newHallA, newHallB := !halls[a.server.Hall], !halls[b.server.Hall]; newHallA != newHallB {
+		return newHallA
 	}
-	if useA, useB := a.load.use(), b.load.use(); useA != useB {
-		return useA < useB
+	if utilA, utilB := a.load.utilization(), b.load.utilization(); utilA != utilB {
+		return utilA < utilB
 	}
 	return a.free > b.free
 }
 
-// load orders one more copy and books its room and work.
-func (p *planner) load(m *fleet.Model, a *accelerator, why string) {
-	if !p.atHand(m, a) {
-		p.loads++
+// loadCopy orders one more copy and accounts for its memory and load.
+func (p *planner) loadCopy(m *fleet.Model, a *accelerator, reason string) {
+	if !p.isCached(m, a) {
+		p.openLoads++
 	}
-	p.noteChange(m, a)
+	p.recordChange(m, a)
 	if len(p.serving(m)) == 0 {
-		p.forgetAt(m, a)
+		p.invalidateAt(m, a)
 	} else {
-		clear(p.found)
+		clear(p.candidates)
 	}
 	a.free -= int64(m.Footprint())
 	a.models[m.Name] = true
 	item := &wire.Item{Model: m.Name, Version: m.Version}
-	p.addCopy(m, copyOf{a, &wire.Resident{Server: a.server.Name, Accelerator: a.number, Item: item, Phase: wire.Phase_PHASE_LOADING}})
-	p.order(a, wire.OrderAction_ORDER_LOAD, item, m.Memory, why)
+	p.addCopy(m, modelCopy{a, &wire.Resident{Server: a.server.Name, Accelerator: a.number, Item: item, Phase: wire.Phase_PHASE_LOADING}})
+	p.order(a, wire.OrderAction_ORDER_LOAD, item, m.Memory, reason)
 }
 
-// makeRoom is rule 5. The copy itself is placed once the room is there.
+// makeRoom is rule 5. The copy itself is placed once the memory is free.
 func (p *planner) makeRoom(n need) {
-	if p.roomFor[n.model.Name] || p.in.Deferred[n.model.Name] { // (11, 13)
+	if p.makingRoomFor[n.model.Name] || p.in.Deferred[n.model.Name] { // (11, 13)
 		return
 	}
-	best := p.leastHarm(n)
+	best := p.cheapestEviction(n)
 	if best == nil && n.have == 0 && p.repack(n.model) { // (8)
 		return
 	}
 	if best == nil {
-		p.plan.Shortages = append(p.plan.Shortages, Shortage{n.model.Name, fmt.Sprintf("%s; no accelerator has %d bytes free now", n.why(), n.model.Footprint())})
+		p.plan.Shortages = append(p.plan.Shortages, Shortage{n.model.Name, fmt.Sprintf("%s; no accelerator has %d bytes free now", n.reason(), n.model.Footprint())})
 		return
 	}
-	if p.betterSoon(n, best) { // (16)
+	if p.worthWaiting(n, best) { // (16)
 		return
 	}
-	if p.roomShare < mostWithoutRoom && !p.isAsked(n.model) && best.worth <= p.fleet.MoveWeight && p.anyAskedOf(best.out) { // (17)
+	if p.capacityShare < minCapacityShare && !p.isRequested(n.model) && best.value <= p.fleet.MoveWeight && p.anyRequested(best.evicted) { // (17)
 		return
 	}
-	for _, c := range best.out {
+	for _, c := range best.evicted {
 		p.evict(c, n.model.Name)
 	}
 }
 
-// busyFor is about how long a server takes no order that others are open on, or that
-// another leader gave orders to.
-const busyFor = 3 * time.Second
+// busyDuration is about how long a server takes no further order because others are open, or
+// because another leader gave it orders.
+const busyDuration = 3 * time.Second
 
-// betterSoon reports whether room on a server that takes no order now costs so much less
+// worthWaiting reports whether making room on a server that takes no order now costs so much less
 // that it is worth the wait (16).
-func (p *planner) betterSoon(n need, best *candidate) bool {
-	waits := p.in.Demand[n.model.Name].Requests * busyFor.Seconds()
-	later := p.leastHarmOn(n, func(a *accelerator) bool {
+func (p *planner) worthWaiting(n need, best *candidate) bool {
+	waitCost := p.in.Demand[n.model.Name].Requests * busyDuration.Seconds()
+	busyBest := p.cheapestEvictionOn(n, func(a *accelerator) bool {
 		return a.busy && !a.unusable && !a.models[n.model.Name] && n.model.MayRunOn(a.server)
 	})
-	return later != nil && later.worth-best.worth > waits+p.fleet.MoveWeight
+	return busyBest != nil && busyBest.value-best.value > waitCost+p.fleet.MoveWeight
 }
 
-// leastHarm returns where room for a model costs the fewest requests, its own that
-// wait for it included (5).
-func (p *planner) leastHarm(n need) *candidate {
-	return p.leastHarmOn(n, func(a *accelerator) bool { return p.mayHold(n.model, a) })
+// cheapestEviction returns where making room for a model costs the fewest requests, including its
+// own that wait for it (5).
+func (p *planner) cheapestEviction(n need) *candidate {
+	return p.cheapestEvictionOn(n, func(a *accelerator) bool { return p.canPlace(n.model, a) })
 }
 
-func (p *planner) leastHarmOn(n need, may func(*accelerator) bool) *candidate {
+func (p *planner) cheapestEvictionOn(n need, eligible func(*accelerator) bool) *candidate {
 	var best *candidate
-	for _, w := range p.waysFor(n, may) {
-		c := p.weigh(n.model, w.acc, w.out)
-		if best == nil || cmp.Or(cmp.Compare(c.worth, best.worth), cmp.Compare(len(best.out), len(c.out))) > 0 {
+	for _, option := range p.evictionOptions(n, eligible) {
+		c := p.evaluate(n.model, option.acc, option.evicted)
+		if best == nil || cmp.Or(cmp.Compare(c.value, best.value), cmp.Compare(len(best.evicted), len(c.evicted))) > 0 {
 			best = &c
 		}
 	}
 	return best
 }
 
-// way is an accelerator with what would go there.
-type way struct {
-	acc  *accelerator
-	out  []copyOf
-	harm float64 // about how many requests a second go without
-	use  float64 // of its server once that has gone
+// evictionOption is an accelerator and the copies that would be evicted there.
+type evictionOption struct {
+	acc         *accelerator
+	evicted     []modelCopy
+	cost        float64 // estimated requests per second left without a copy
+	utilization float64 // of its server after the evictions
 }
 
-// weighed is how many ways to make room are weighed at most of those on servers that have the model at hand, and of the
-// others: the ones that are missed least by a reckoning that looks at nothing but the copies that go. To weigh one costs as
-// much as to reckon a hundred, and in a fleet of thousands of servers most are alike.
-const weighed = 24
+// maxOptions limits how many options are evaluated on servers that have the model cached, and
+// likewise on the others: those with the lowest cost in an estimate that considers only the evicted
+// copies. One evaluation costs as much as a hundred such estimates, and in a fleet of thousands of
+// servers most options are alike.
+const maxOptions = 24
 
-// waysFor returns the ways to make room for a model that are worth weighing.
-func (p *planner) waysFor(n need, may func(*accelerator) bool) []way {
-	var atHand, others []way
-	sparing := p.sparing(n.model, n.have == 0)
+// evictionOptions returns the options to make room for a model that are worth evaluating.
+func (p *planner) evictionOptions(n need, eligible func(*accelerator) bool) []evictionOption {
+	var cached, others []evictionOption
+	mode := p.evictionModeFor(n.model, n.have == 0)
 	for _, a := range p.accs {
-		if !may(a) {
+		if !eligible(a) {
 			continue
 		}
-		out, use, ok := p.spare(a, int64(n.model.Footprint())-a.free, sparing)
+		evicted, freed, ok := p.selectEvictions(a, int64(n.model.Footprint())-a.free, mode)
 		if !ok {
 			continue
 		}
-		w := way{acc: a, out: out, use: a.load.use() - use}
-		for _, c := range out {
-			w.harm += p.lacked(c)
+		option := evictionOption{acc: a, evicted: evicted, utilization: a.load.utilization() - freed}
+		for _, c := range evicted {
+			option.cost += p.evictionCost(c)
 		}
-		if p.atHand(n.model, a) {
-			atHand = append(atHand, w)
+		if p.isCached(n.model, a) {
+			cached = append(cached, option)
 		} else {
-			others = append(others, w)
+			others = append(others, option)
 		}
 	}
-	return append(leastHarmful(atHand), leastHarmful(others)...)
+	return append(cheapest(cached), cheapest(others)...)
 }
 
-func leastHarmful(ways []way) []way {
-	if len(ways) <= weighed {
-		return ways
+func cheapest(options []evictionOption) []evictionOption {
+	if len(options) <= maxOptions {
+		return options
 	}
-	slices.SortStableFunc(ways, func(a, b way) int {
-		return cmp.Or(cmp.Compare(a.harm, b.harm), cmp.Compare(a.use, b.use), cmp.Compare(len(a.out), len(b.out)))
+	slices.SortStableFunc(options, func(a, b evictionOption) int {
+		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.utilization, b.utilization), cmp.Compare(len(a.evicted), len(b.evicted)))
 	})
-	return ways[:weighed]
+	return options[:maxOptions]
 }
 
-// sparing says which copies may go for a copy of a model.
-type sparing int
+// evictionMode says which copies may be evicted for a copy of a model.
+type evictionMode int
 
 const (
-	// forFirst is for a model that has none: others keep one. Without it others keep their least number.
-	forFirst sparing = 1 << iota
-	// forAsked is for a model that is asked for: last copies may go that are had again within a moment (14, 15, 17).
-	forAsked
-	sparings
+	// forFirstCopy is for a model without a copy: others keep one. Without it others keep their
+	// minimum.
+	forFirstCopy evictionMode = 1 << iota
+	// forRequested is for a model that is requested: last copies may be evicted that can be loaded
+	// again within a moment (14, 15, 17).
+	forRequested
+	evictionModes
 )
 
-func (p *planner) sparing(m *fleet.Model, first bool) (s sparing) {
+func (p *planner) evictionModeFor(m *fleet.Model, first bool) (s evictionMode) {
 	if first {
-		s |= forFirst
+		s |= forFirstCopy
 	}
-	if p.isAsked(m) {
-		s |= forAsked
+	if p.isRequested(m) {
+		s |= forRequested
 	}
 	return s
 }
 
-// spares are the copies on an accelerator that can go, the least asked for first. They are kept until something moves there,
-// or of a model that stands there: each move looks at each of them for each model that has too few copies.
-type spares struct {
-	round int // planner.round when they were found; 0: they were not
-	list  []copyOf
-	// sizes are the bytes that each takes, uses the use that it makes of its server (load.use).
-	sizes []int64
-	uses  []float64
+// evictionList has the copies on an accelerator that can be evicted, least demand first. It is kept
+// until something changes there, or of a model resident there: each move looks at each list for
+// each model with too few copies.
+type evictionList struct {
+	round int // planner.round when computed; 0: not computed
+	list  []modelCopy
+	// sizes are the bytes that each copy takes, utilizations its part of load.utilization.
+	sizes        []int64
+	utilizations []float64
 }
 
-// spare returns copies on an accelerator that can go so that so many bytes
-// become free: those whose models keep a ready copy elsewhere, and, unless the
-// room is for a model without any copy, their least number; the least asked for go
-// first. It returns the use that they make of their server, too.
-func (p *planner) spare(a *accelerator, bytes int64, which sparing) (out []copyOf, use float64, ok bool) {
-	s := p.sparesOf(a, which)
+// selectEvictions returns copies on an accelerator whose eviction frees so many bytes, least demand
+// first: copies of models that keep a ready copy elsewhere and, unless the room is for a model
+// without a copy, their minimum number. It also returns the copies' part of their server's
+// utilization.
+func (p *planner) selectEvictions(a *accelerator, bytes int64, mode evictionMode) (evicted []modelCopy, utilization float64, ok bool) {
+	s := p.evictionListOf(a, mode)
 	for i := range s.list {
 		bytes -= s.sizes[i]
-		use += s.uses[i]
+		utilization += s.utilizations[i]
 		if bytes <= 0 {
-			return s.list[: i+1 : i+1], use, true
+			return s.list[: i+1 : i+1], utilization, true
 		}
 	}
 	return nil, 0, false
 }
 
-// sparesOf returns what stands in the accelerator, or finds it anew if something moved since.
-func (p *planner) sparesOf(a *accelerator, which sparing) *spares {
-	s := &a.spares[which]
-	if s.round > 0 && !p.changedSince(a, s.round) && !p.in.afresh {
+// evictionListOf returns the list kept in the accelerator, recomputed if something changed since.
+func (p *planner) evictionListOf(a *accelerator, mode evictionMode) *evictionList {
+	s := &a.evictions[mode]
+	if s.round > 0 && !p.changedSince(a, s.round) && !p.in.noCache {
 		return s
 	}
-	s.round, s.list, s.sizes, s.uses = p.round, nil, nil, nil
+	s.round, s.list, s.sizes, s.utilizations = p.round, nil, nil, nil
 	for name := range a.models {
-		if c, ok := p.spareCopy(name, a, which); ok {
+		if c, ok := p.evictableCopy(name, a, mode); ok {
 			s.list = append(s.list, c)
 		}
 	}
-	slices.SortFunc(s.list, func(x, y copyOf) int {
+	slices.SortFunc(s.list, func(x, y modelCopy) int {
 		mx, my := p.fleet.Models[x.resident.Item.Model], p.fleet.Models[y.resident.Item.Model]
-		return cmp.Or(cmp.Compare(p.lacked(x), p.lacked(y)), cmp.Compare(p.steady(mx), p.steady(my)), cmp.Compare(mx.Name, my.Name))
+		return cmp.Or(cmp.Compare(p.evictionCost(x), p.evictionCost(y)), cmp.Compare(p.longTermRate(mx), p.longTermRate(my)), cmp.Compare(mx.Name, my.Name))
 	})
 	for _, c := range s.list {
 		s.sizes = append(s.sizes, int64(p.fleet.Models[c.resident.Item.Model].Footprint()))
-		s.uses = append(s.uses, p.useOf(c))
+		s.utilizations = append(s.utilizations, p.utilizationOf(c))
 	}
 	return s
 }
 
-// changedSince reports whether something moved on an accelerator, or of the models there, after a round.
+// changedSince reports whether an accelerator, or one of the models there, changed after a round.
 func (p *planner) changedSince(a *accelerator, round int) bool {
-	if a.changed > round {
+	if a.changedRound > round {
 		return true
 	}
 	for name := range a.models {
-		if p.changed[name] > round {
+		if p.changedRound[name] > round {
 			return true
 		}
 	}
 	return false
 }
 
-// noteChange begins another round, in which a model has changed on an accelerator.
-func (p *planner) noteChange(m *fleet.Model, a *accelerator) {
+// recordChange starts another round, in which a model has changed on an accelerator.
+func (p *planner) recordChange(m *fleet.Model, a *accelerator) {
 	p.round++
-	p.changed[m.Name], a.changed = p.round, p.round
+	p.changedRound[m.Name], a.changedRound = p.round, p.round
 }
 
-// useOf is the use that a copy makes of its server (load.use).
-func (p *planner) useOf(c copyOf) float64 {
+// utilizationOf returns a copy's part of its server's utilization.
+func (p *planner) utilizationOf(c modelCopy) float64 {
 	m := p.fleet.Models[c.resident.Item.Model]
-	alone := load{size: c.acc.load.size, limit: c.acc.load.limit}
+	alone := load{slots: c.acc.load.slots, limit: c.acc.load.limit}
 	alone.add(p.in.Demand[m.Name], 1/float64(max(1, len(p.serving(m)))))
-	return alone.use()
+	return alone.utilization()
 }
 
-// lacked is about how many requests a second go without a copy if it goes.
-func (p *planner) lacked(c copyOf) float64 {
+// evictionCost estimates how many requests per second are left without a copy if this one is
+// evicted.
+func (p *planner) evictionCost(c modelCopy) float64 {
 	m := p.fleet.Models[c.resident.Item.Model]
 	n := len(p.serving(m))
-	if n <= 1 || p.onlyFree(m, c) {
-		return p.absentRate(m)
+	if n <= 1 || p.onlyUnlimitedCopy(m, c) {
+		return p.unservedRate(m)
 	}
 	return p.in.Demand[m.Name].Requests / float64(n)
 }
 
-// spareCopy returns the model's copy on an accelerator if it can go.
-func (p *planner) spareCopy(name string, a *accelerator, which sparing) (copyOf, bool) {
+// evictableCopy returns the model's copy on an accelerator if it can be evicted.
+func (p *planner) evictableCopy(name string, a *accelerator, mode evictionMode) (modelCopy, bool) {
 	m := p.fleet.Models[name]
 	if m == nil {
-		return copyOf{}, false
+		return modelCopy{}, false
 	}
-	var here copyOf
-	found, ready, all := false, 0, 0
+	var here modelCopy
+	readyHere, ready, all := false, 0, 0
 	for _, c := range p.serving(m) {
 		all++
 		switch {
 		case c.acc == a:
-			here, found = c, c.resident.Phase == wire.Phase_PHASE_READY
+			here, readyHere = c, c.resident.Phase == wire.Phase_PHASE_READY
 		case c.resident.Phase == wire.Phase_PHASE_READY:
 			ready++
 		}
 	}
-	place := ledger.Location{Server: a.server.Name, Accelerator: a.number, Model: name, Version: m.Version}
-	enough := ready >= 1 && (which&forFirst != 0 || all > p.least(m))
-	spare := enough || which&forAsked != 0 && all == 1 && p.atHand(m, a) && !p.in.Awaited[name] && p.in.Demand[name].Requests < rareBelow && (p.in.Idle[name] || p.steady(m) < rareBelow) // (14, 15)
-	return here, found && spare && p.settled(m, a) && p.in.State.OrphanedAdapter(place) == ""
+	loc := ledger.Location{Server: a.server.Name, Accelerator: a.number, Model: name, Version: m.Version}
+	enough := ready >= 1 && (mode&forFirstCopy != 0 || all > p.minCopies(m))
+	evictable := enough || mode&forRequested != 0 && all == 1 && p.isCached(m, a) && !p.in.Awaited[name] && p.in.Demand[name].Requests < rareRate && (p.in.Idle[name] || p.longTermRate(m) < rareRate) // (14, 15)
+	return here, readyHere && evictable && p.noOpenOrder(m, a) && p.in.State.OrphanedAdapter(loc) == ""
 }
 
-// returns reports whether a model without a copy comes back when that is worth it (15).
-func (p *planner) returns(m *fleet.Model) bool { return len(p.serving(m)) == 0 && p.kept(m) }
+// returnsOnDemand reports whether a model without a copy is loaded again only when that is worth it
+// (15).
+func (p *planner) returnsOnDemand(m *fleet.Model) bool {
+	return len(p.serving(m)) == 0 && p.isCachedAnywhere(m)
+}
 
-// settled reports whether nothing of the model is being moved on an accelerator.
-func (p *planner) settled(m *fleet.Model, a *accelerator) bool {
+// noOpenOrder reports whether no order about the model is open on an accelerator.
+func (p *planner) noOpenOrder(m *fleet.Model, a *accelerator) bool {
 	for o := range p.in.State.Orders.ByServer(a.server.Name) {
 		if o.Accelerator == a.number && o.Item.Model == m.Name {
 			return false
@@ -451,34 +459,33 @@
 	return true
 }
 
-// evict orders a copy away. Its adapters follow once they are without it.
-func (p *planner) evict(c copyOf, roomFor string) {
+// evict orders the unload of a copy. Its adapters are unloaded once it is gone.
+func (p *planner) evict(c modelCopy, roomFor string) {
 	p.orderFor(c.acc, wire.OrderAction_ORDER_UNLOAD, c.resident.Item, c.resident.Memory, roomFor, "makes room for "+roomFor)
-	c.acc.busy = true // nothing else moves there in this round
-	p.roomFor[roomFor] = true
-	p.noteChange(p.fleet.Models[c.resident.Item.Model], c.acc)
-	clear(p.found)
+	c.acc.busy = true // nothing else changes there in this decision
+	p.makingRoomFor[roomFor] = true
+	p.recordChange(p.fleet.Models[c.resident.Item.Model], c.acc)
+	clear(p.candidates)
 	p.dropCopy(p.fleet.Models[c.resident.Item.Model], c)
 }
 
-// atHand reports whether a server can load a model from its own memory or disk
-// (12).
-func (p *planner) atHand(m *fleet.Model, a *accelerator) bool {
-	return slices.Contains(a.hand, m.Name)
+// isCached reports whether a server can load a model from its own memory or disk (12).
+func (p *planner) isCached(m *fleet.Model, a *accelerator) bool {
+	return slices.Contains(a.cached, m.Name)
 }
 
-// kept reports whether some server that works has the model at hand (14).
-func (p *planner) kept(m *fleet.Model) bool { return p.keptModels[m.Name] }
+// isCachedAnywhere reports whether some usable server has the model cached (14).
+func (p *planner) isCachedAnywhere(m *fleet.Model) bool { return p.cachedModels[m.Name] }
 
-// noteKept lists once what is asked of every model many times.
-func (p *planner) noteKept() {
-	p.keptModels = map[string]bool{}
+// collectCachedModels computes once what is looked up for every model many times.
+func (p *planner) collectCachedModels() {
+	p.cachedModels = map[string]bool{}
 	for _, a := range p.accs {
 		if a.unusable {
 			continue
 		}
-		for _, name := range a.hand {
-			p.keptModels[name] = true
+		for _, name := range a.cached {
+			p.cachedModels[name] = true
 		}
 	}
 }
--- a/placement/ondemand.go
+++ b/placement/ondemand.go
@@ -10,22 +10,21 @@
 	"leverdrum/wire"
 )
 
-// adaptersOnDemand is rule 9.
-func (p *planner) adaptersOnDemand() {
+// planOnDemandAdapters is rule 9.
+func (p *planner) planOnDemandAdapters() {
 	for _, name := range slices.Sorted(maps.Keys(p.in.Awaited)) {
 		a := p.fleet.Adapters[name]
-		if a == nil || !a.OnDemand || !p.in.Awaited[name] || p.adapterServed(a) {
+		if a == nil || !a.OnDemand || !p.in.Awaited[name] || p.adapterServing(a) {
 			continue
 		}
 		p.placeAdapter(a)
 	}
 }
 
-// adapterServed reports whether an adapter is ready or coming on a server that
-// works.
-func (p *planner) adapterServed(a *fleet.Adapter) bool {
-	return slices.ContainsFunc(p.copies[a.Model], func(c copyOf) bool {
-		r := p.in.State.Residents.Get(adapterPlace(c.acc, a))
+// adapterServing reports whether an adapter is ready or loading on a usable server.
+func (p *planner) adapterServing(a *fleet.Adapter) bool {
+	return slices.ContainsFunc(p.copies[a.Model], func(c modelCopy) bool {
+		r := p.in.State.Residents.Get(adapterLocation(c.acc, a))
 		return r != nil && r.Phase != wire.Phase_PHASE_UNLOADING && !c.acc.unusable
 	})
 }
@@ -36,7 +35,7 @@
 		if c.resident.Phase != wire.Phase_PHASE_READY || c.acc.busy || c.acc.unusable || c.acc.free < int64(a.Memory) && !p.slotsFull(c.acc) {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(c.acc.adapters, best.adapters), cmp.Compare(c.acc.load.use(), best.load.use())) < 0 {
+		if best == nil || cmp.Or(cmp.Compare(c.acc.adapters, best.adapters), cmp.Compare(c.acc.load.utilization(), best.load.utilization())) < 0 {
 			best = c.acc
 		}
 	}
@@ -55,50 +54,49 @@
 	return slots > 0 && acc.adapters >= slots
 }
 
-// evictAdapter orders the adapter away that is asked for least and that nobody
-// waits for.
-func (p *planner) evictAdapter(acc *accelerator, for_ string) {
-	var worst *wire.Resident
-	for _, place := range p.places {
-		r := p.in.State.Residents.Get(place)
-		if !p.evictable(acc, place, r) {
+// evictAdapter orders the unload of the adapter with the least demand that no request waits for.
+func (p *planner) evictAdapter(acc *accelerator, forAdapter string) {
+	var leastUsed *wire.Resident
+	for _, loc := range p.locations {
+		r := p.in.State.Residents.Get(loc)
+		if !p.adapterEvictable(acc, loc, r) {
 			continue
 		}
-		if worst == nil || p.in.Demand[place.Adapter].Requests < p.in.Demand[worst.Item.Adapter].Requests {
-			worst = r
+		if leastUsed == nil || p.in.Demand[loc.Adapter].Requests < p.in.Demand[leastUsed.Item.Adapter].Requests {
+			leastUsed = r
 		}
 	}
-	if worst != nil {
-		p.order(acc, wire.OrderAction_ORDER_UNLOAD, worst.Item, worst.Memory, "makes room for adapter "+for_)
+	if leastUsed != nil {
+		p.order(acc, wire.OrderAction_ORDER_UNLOAD, leastUsed.Item, leastUsed.Memory, "makes room for adapter "+forAdapter)
 	}
 }
 
-func (p *planner) evictable(acc *accelerator, place ledger.Location, r *wire.Resident) bool {
-	return place.Server == acc.server.Name && place.Accelerator == acc.number && place.Adapter != "" &&
-		r.Phase == wire.Phase_PHASE_READY && !p.in.Awaited[place.Adapter]
+func (p *planner) adapterEvictable(acc *accelerator, loc ledger.Location, r *wire.Resident) bool {
+	return loc.Server == acc.server.Name && loc.Accelerator == acc.number && loc.Adapter != "" &&
+		r.Phase == wire.Phase_PHASE_READY && !p.in.Awaited[loc.Adapter]
 }
 
-// least is the least number of copies of a model (10).
-func (p *planner) least(m *fleet.Model) int {
-	slots := p.slots[m.Pool]
+// minCopies returns the minimum number of copies of a model (10).
+func (p *planner) minCopies(m *fleet.Model) int {
+	slots := p.adapterSlots[m.Pool]
 	if slots == 0 {
 		return m.Copies
 	}
-	return min(max(m.Copies, (p.asked[m.Name]+slots-1)/slots), m.MaxCopies)
+	return min(max(m.Copies, (p.requestedAdapters[m.Name]+slots-1)/slots), m.MaxCopies)
 }
 
-// countAsked counts the on-demand adapters of each model that are asked for, and
-// the slots of each pool's servers (10).
-func (p *planner) countAsked() {
-	p.asked, p.slots = map[string]int{}, map[string]int{}
+// countRequestedAdapters counts the requested on-demand adapters of each model, and the slots of
+// each pool's servers (10).
+func (p *planner) countRequestedAdapters() {
+	p.requestedAdapters, p.adapterSlots = map[string]int{}, map[string]int{}
 	for name, pool := range p.fleet.Pools {
 		if pool.Kind != nil {
-			p.slots[name] = pool.Kind.AdapterSlots
+			p.adapterSlots[name] = pool.Kind.AdapterSlots
 		}
 	}
 	for name, d := range p.in.Demand {
-		if a := p.fleet.Adapters[name]; a != nil && a.OnDemand && d.Requests >= askedFor {
-			p.asked[a.Model]++
+		if a := p.fleet.Adapters[name]; a != nil && a.OnDemand && d.Requests >= minAdapterRate {
+			p.requestedAdapters[a.Model]++
 		}
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,62 +1,63 @@
-// Package placement decides which models and adapters stand where. It is a
-// pure function of what is agreed and measured: the same input gives the same
-// orders.
+// Package placement decides which models and adapters are loaded where. It is a
+// pure function of the committed state and the demand: the same input gives the
+// same orders.
 //
 // Rules:
 //
-//  1. Room is kept or made first for models without a ready or coming copy, then
-//     for those below their least number of copies; within each for those that are
-//     asked for first, then by priority, then by demand. The loads themselves go by
-//     how many requests a second each serves: a copy that demand asks for (7) may
-//     come before a model that is rarely asked for, and one that nobody asks for
-//     comes last, as long as the weight store is the limit.
-//  2. A copy goes to an accelerator with room for the model and all its
-//     adapters: to a data hall without a copy, then to the server with the least
-//     work, then to the one with the most room.
+//  1. Memory is reserved or freed first for models without a ready or loading copy, then
+//     for those below their minimum number of copies; within each for those with demand
+//     first, then by priority, then by demand. The loads themselves are ordered by how many
+//     requests per second each serves: a copy that demand asks for (7) may come before a
+//     model that is rarely requested, and one without demand comes last, as long as the
+//     weight store is the limit.
+//  2. A copy goes to an accelerator with free memory for the model and all its
+//     adapters: to a data hall without a copy, then to the server with the lowest
+//     utilization, then to the one with the most free memory.
 //  3. An adapter is loaded beside each ready copy of its model.
 //  4. Make before break: an item is unloaded only when it is not wanted any
 //     more, when it is of an old version and the new one is ready, or to make
 //     room while another copy of it is ready. The ledger checks that again.
-//  5. When nothing has room for a copy that is needed, the fewest copies that
-//     can be spared on one accelerator make room for it: those beyond their
-//     model's least number, and for a model without any copy all but the last.
-//     Of several ways the one that costs the fewest requests is taken.
-//  6. At most as many loads from the weight store are open at once as it serves well. What a server has at hand (12) does
-//     not wait for that.
-//  7. Demand moves a copy only when what it gains, in requests answered in time
-//     over the time that demand is taken to last, less what the copies that make
-//     room are missed until it is there, is worth more than the price of a move. A copy that is not needed any more stays until its room is:
-//     taking it away would gain nothing.
-//  8. A model without any copy, for which there is room in sum but on no one
-//     accelerator, gets it by shifting copies that stand in the way: they are
-//     loaded elsewhere first, the fewest bytes that do, and go by rule 5 then.
+//  5. When no accelerator has free memory for a copy that is needed, the fewest copies
+//     that can be evicted on one accelerator make room for it: those beyond their
+//     model's minimum, and for a model without any copy all but the last.
+//     Of several options the one that costs the fewest requests is taken.
+//  6. At most as many loads from the weight store are open at once as it serves well. Loads of
+//     models that a server has cached (12) do not wait for that.
+//  7. Demand moves a copy only when its gain is worth more than the price of a move. The gain is
+//     in requests answered in time over the time that demand is assumed to last, less the cost of
+//     the evictions until the copy is loaded. A copy that is not needed any more stays until its
+//     memory is needed: unloading it would gain nothing.
+//  8. A model without any copy that fits into the total free memory, but on no single
+//     accelerator, gets its memory by relocating the copies that block it: they are loaded
+//     elsewhere first, choosing the fewest bytes that suffice, and then evicted by rule 5.
 //  9. An on-demand adapter that requests wait for is loaded beside the copy of
 //     its model with the fewest adapters; where all slots are taken, the adapter
-//     that is asked for least goes.
-//  10. A model has at least so many copies that all its on-demand adapters that
-//     are asked for find a slot.
+//     with the least demand is evicted.
+//  10. A model has at least so many copies that all its requested on-demand adapters
+//     find a slot.
 //  11. While room is being made for a model, none is made for it elsewhere; copies that
-//     need none may come.
-//  12. A server that has a model at hand (in its memory or on its disk) loads it far
-//     faster than from the weight store, and is taken first.
-//  13. No room is made for a model yet that the leader is patient with: while demand
-//     is not known to it, every copy looks spare; and one that nobody asks for may
-//     wait for its server to come back.
-//  14. The last copy of a model that nobody has asked for lately may go where the server
-//     keeps the model at hand (ledger, rule 4), and no room is made for it until it is
-//     asked for.
-//  15. Models that some server has at hand come and go by what they are worth, first
-//     copies too: the last copy of one that is asked for now and then may go, where the
-//     server has it at hand, for a copy that spares more requests, and comes back by the
-//     same measure. It is missed by the requests that it is asked for on average, by those
-//     of now where they are many, and by some even if nobody asked for it lately. So the
-//     models that are asked for all the time have copies enough when servers are lost.
-//  16. Room that is needed is not made by taking a copy that many requests need while a
+//     need none may be loaded.
+//  12. A server that has a model cached (in its memory or on its disk) loads it far
+//     faster than from the weight store, and is preferred.
+//  13. No room is made yet for a model that the leader defers: while the leader does not know
+//     the demand, every copy looks like a surplus copy; and a model without demand may wait
+//     for its server to come back.
+//  14. The last copy of a model without recent requests may be evicted where the server
+//     keeps the model cached (ledger, rule 4), and no room is made for it until it is
+//     requested.
+//  15. Models that some server has cached are loaded and evicted by their value, first
+//     copies too: the last copy of one that is requested now and then may be evicted, where the
+//     server has it cached, for a copy that saves more requests, and is loaded again by the
+//     same measure. The cost of its eviction is its average rate of requests, its current rate
+//     where that is high, and some minimum even without recent requests. So the
+//     models that are requested all the time have copies enough when servers are lost.
+//  16. Room is not made by evicting a copy that many requests need while a
 //     server that takes no order yet, such as one that another leader gave orders to,
-//     can spare one that few need.
-//  17. A copy that stands is worth more than one that nobody asks for: the last copy of a model goes only for a model that
-//     is asked for. Where most models have no room, no copy that is asked for goes for a model that nobody asks for, unless
-//     that is worth the price of a move: all that stand would otherwise go, one after another.
+//     can evict one that few need.
+//  17. A resident copy is worth more than one without demand: the last copy of a model is evicted
+//     only for a model that is requested. Where most models do not fit, no requested copy is
+//     evicted for a model without demand, unless that is worth the price of a move: otherwise
+//     all resident copies would be evicted, one after another.
 package placement
 
 import (
@@ -69,63 +70,61 @@
 	"leverdrum/wire"
 )
 
-// Demand is what a model, its adapters included, is asked for.
+// Demand is the demand for a model, including its adapters.
 type Demand struct {
-	// Requests is in requests a second, those refused included.
+	// Requests is the rate in requests per second, including refused ones.
 	Requests float64
-	// BusySlots is how many requests of it are in service on average, if none is
-	// refused.
+	// BusySlots is the average number of its requests in service, if none is refused.
 	BusySlots float64
-	// LongTermRequests is the rate of requests over a longer time, for models that are asked for
-	// now and then; 0 where that is not known.
+	// LongTermRequests is the rate of requests over a longer time, for models that are requested
+	// now and then; 0 if unknown.
 	LongTermRequests float64
-	// PrefillLoad is how many servers it keeps busy by the reading of its prompts; 0 where
-	// that is not known.
+	// PrefillLoad is the number of servers that it keeps busy with prefill; 0 if unknown.
 	PrefillLoad float64
 }
 
-// Input is what a decision is made from.
+// Input holds everything that a decision depends on.
 type Input struct {
 	State *state.State
-	// Demand of each model.
+	// Demand is the demand by model or on-demand adapter.
 	Demand map[string]Demand
-	// Down names servers that do not answer; they get no orders and their
-	// copies do not count.
+	// Down names unresponsive servers; they get no orders and their copies do not count.
 	Down map[string]bool
 	// NoOrders names servers that get no orders now, though their copies count.
 	NoOrders map[string]bool
-	// InBackoff names servers that want no requests for so long that other copies of their models are worth a move.
+	// InBackoff names servers that refuse requests for so long that other copies of their models
+	// are worth a move.
 	InBackoff map[string]bool
-	// LeaderFor is how long the box has led. A new leader first lets demand be
-	// reported to it before it moves anything for demand's sake.
+	// LeaderFor is how long the box has been the leader. A new leader waits for demand reports
+	// before it moves anything because of demand.
 	LeaderFor time.Duration
 	// Deferred names models that no room is made for yet (13).
 	Deferred map[string]bool
-	// Idle names models that nobody has asked for lately (14).
+	// Idle names models without recent requests (14).
 	Idle map[string]bool
-	// Awaited are models and on-demand adapters that requests wait for.
+	// Awaited names models and on-demand adapters that requests wait for.
 	Awaited map[string]bool
-	// DemandSettleTime is how long a new leader waits for demand to be reported; 0:
-	// DemandSettles.
+	// DemandSettleTime is how long a new leader waits for demand reports; 0 means
+	// DefaultDemandSettleTime.
 	DemandSettleTime time.Duration
 
-	// afresh has everything found anew each time, for a test of what is kept.
-	afresh bool
+	// noCache recomputes everything each time, for a test of the caches.
+	noCache bool
 }
 
-// Decision is one order with its reason.
+// Decision is one order and its reason.
 type Decision struct {
 	Order  *wire.Order
 	Reason string
 }
 
-// Shortage says that a model has no room.
+// Shortage names a model that does not fit, and why.
 type Shortage struct {
 	Model  string
 	Reason string
 }
 
-// Plan is what is to be done next.
+// Plan holds the orders to issue next and the models that do not fit.
 type Plan struct {
 	Decisions []Decision
 	Shortages []Shortage
@@ -137,30 +136,30 @@
 		return Plan{}
 	}
 	p := newPlanner(in)
-	p.unloads()
-	p.adapters()
-	p.adaptersOnDemand()
-	p.fillNeeds()
-	p.loadNeeds()
+	p.planUnloads()
+	p.planAdapters()
+	p.planOnDemandAdapters()
+	p.reserveForNeeds()
+	p.loadReserved()
 	return p.plan
 }
 
 type accelerator struct {
-	server   *fleet.Server
-	load     *load
-	number   uint32
-	free     int64 // bytes, less what is promised to adapters of copies there
-	adapters int   // in whatever phase
-	stood    int   // models that stood there when the decision began
-	unusable bool  // its server leaves or does not answer: copies there do not count
-	busy     bool  // takes no further order now
-	models   map[string]bool
-	hand     []string // models that its server has at hand
-	spares   [sparings]spares
-	changed  int // planner.round in which something moved there last
+	server        *fleet.Server
+	load          *load
+	number        uint32
+	free          int64 // bytes, less what is reserved for adapters of copies there
+	adapters      int   // in any phase
+	initialModels int   // models resident when the decision began
+	unusable      bool  // its server is draining or unresponsive: copies there do not count
+	busy          bool  // takes no further orders now
+	models        map[string]bool
+	cached        []string // models that its server has cached
+	evictions     [evictionModes]evictionList
+	changedRound  int // planner.round of the last change there
 }
 
-type copyOf struct {
+type modelCopy struct {
 	acc      *accelerator
 	resident *wire.Resident
 }
@@ -169,102 +168,103 @@
 	in     Input
 	fleet  *fleet.Fleet
 	models []*fleet.Model // sorted
-	// places and residents are what is resident, in the order of places.
-	places    []ledger.Location
-	residents []*wire.Resident
-	accs      []*accelerator
-	index     map[string][]*accelerator
-	copies    map[string][]copyOf // by model, any version and phase
-	served    map[string][]copyOf // what serving has found since a model's copies changed
-	round     int                 // counts what moves in this decision, from 1
-	// changed is the round in which something of a model moved last.
-	changed map[string]int
-	loads   int // from the weight store that are open
-	// clearing are servers on which copies make room in this round.
-	clearing map[*load]bool
-	// asked counts the on-demand adapters of each model that are asked for; slots
-	// are the adapter slots of each pool's servers.
-	asked, slots map[string]int
-	// keptModels are at hand on some server that works (14).
-	keptModels map[string]bool
-	// roomShare is the part of all models that there is room for at once.
-	roomShare float64
-	// roomFor names the models that room is being made for (11).
-	roomFor map[string]bool
-	// moves counts what demand moved in this round; best is the next one, unless
-	// there is none (noMove).
-	moves  int
-	best   *candidate
-	noMove bool
-	// found are the best further copies of models, nil where there is none (rules in demand.go).
-	found map[string]*candidate
-	// reserved are places that are kept for models without enough copies (1).
-	reserved []reservation
-	plan     Plan
+	// locations and residents are the resident items, in the order of locations.
+	locations    []ledger.Location
+	residents    []*wire.Resident
+	accs         []*accelerator
+	byServer     map[string][]*accelerator
+	copies       map[string][]modelCopy // by model, any version and phase
+	servingCache map[string][]modelCopy // results of serving since a model's copies changed
+	round        int                    // counts the changes in this decision, from 1
+	// changedRound is the round of the last change of each model.
+	changedRound map[string]int
+	openLoads    int // open loads from the weight store
+	// evictingServers are the servers on which moves of this decision evict copies.
+	evictingServers map[*load]bool
+	// requestedAdapters counts the requested on-demand adapters of each model; adapterSlots are the
+	// adapter slots of each pool's servers.
+	requestedAdapters, adapterSlots map[string]int
+	// cachedModels are cached by some usable server (14).
+	cachedModels map[string]bool
+	// capacityShare is the share of all models that fit at once.
+	capacityShare float64
+	// makingRoomFor names the models that room is being made for (11).
+	makingRoomFor map[string]bool
+	// moves counts the moves made for demand in this decision; best is the next one, unless there
+	// is none (noMoveLeft).
+	moves      int
+	best       *candidate
+	noMoveLeft bool
+	// candidates are the best further copies of models, nil where there is none (caching rules in
+	// demand.go).
+	candidates map[string]*candidate
+	// reservations hold memory for models without enough copies (1).
+	reservations []reservation
+	plan         Plan
 }
 
 func newPlanner(in Input) *planner {
-	p := &planner{in: in, fleet: in.State.Fleet, copies: map[string][]copyOf{}, served: map[string][]copyOf{}, found: map[string]*candidate{}, changed: map[string]int{}, round: 1, clearing: map[*load]bool{}}
-	p.index = map[string][]*accelerator{}
+	p := &planner{in: in, fleet: in.State.Fleet, copies: map[string][]modelCopy{}, servingCache: map[string][]modelCopy{}, candidates: map[string]*candidate{}, changedRound: map[string]int{}, round: 1, evictingServers: map[*load]bool{}}
+	p.byServer = map[string][]*accelerator{}
 	p.models = p.fleet.SortedModels()
-	for place, r := range in.State.Residents.All() {
-		p.places, p.residents = append(p.places, place), append(p.residents, r)
+	for loc, r := range in.State.Residents.All() {
+		p.locations, p.residents = append(p.locations, loc), append(p.residents, r)
 	}
 	for _, s := range in.State.AllServers() {
-		l := &load{size: float64(s.Kind.Concurrency), good: p.fleet.GoodUse, limit: p.limitOf(s.Name)}
-		seen := in.State.Servers.Get(s.Name)
-		unusable := p.unusable(s, seen)
+		serverLoad := &load{slots: float64(s.Kind.Concurrency), goodUse: p.fleet.GoodUse, limit: p.limitOf(s.Name)}
+		serverState := in.State.Servers.Get(s.Name)
+		unusable := p.unusable(s, serverState)
 		for n := range s.Kind.Accelerators {
-			a := &accelerator{server: s, load: l, number: uint32(n), free: int64(s.Kind.Usable()), models: map[string]bool{}, unusable: unusable}
-			a.hand = seen.GetAtHand()
-			a.busy = unusable || in.NoOrders[s.Name] || seen.GetQuarantined()
-			p.index[s.Name] = append(p.index[s.Name], a)
+			a := &accelerator{server: s, load: serverLoad, number: uint32(n), free: int64(s.Kind.Usable()), models: map[string]bool{}, unusable: unusable}
+			a.cached = serverState.GetAtHand()
+			a.busy = unusable || in.NoOrders[s.Name] || serverState.GetQuarantined()
+			p.byServer[s.Name] = append(p.byServer[s.Name], a)
 			p.accs = append(p.accs, a)
 		}
 	}
-	p.noteKept()
-	p.roomShare = p.shareWithRoom()
-	p.countAsked()
+	p.collectCachedModels()
+	p.capacityShare = p.computeCapacityShare()
+	p.countRequestedAdapters()
 	p.countOrders()
 	p.countResidents()
-	p.spreadWork()
+	p.assignDemand()
 	return p
 }
 
-// shareWithRoom returns the part of all models that the servers that work have room for.
-func (p *planner) shareWithRoom() float64 {
-	room, all := 0.0, 0.0
+// computeCapacityShare returns the share of all models that fits into the usable servers.
+func (p *planner) computeCapacityShare() float64 {
+	capacity, footprints := 0.0, 0.0
 	for _, a := range p.accs {
 		if !a.unusable {
-			room += float64(a.server.Kind.Usable())
+			capacity += float64(a.server.Kind.Usable())
 		}
 	}
 	for _, m := range p.models {
-		all += float64(m.Footprint())
+		footprints += float64(m.Footprint())
 	}
-	if all == 0 {
+	if footprints == 0 {
 		return 1
 	}
-	return room / all
+	return capacity / footprints
 }
 
-func (p *planner) unusable(s *fleet.Server, seen *wire.ServerState) bool {
-	return s.Leaving || seen.GetIncarnation() == "" || seen.GetLeaving() || p.in.Down[s.Name] || p.in.State.Evacuated(s.Hall)
+func (p *planner) unusable(s *fleet.Server, serverState *wire.ServerState) bool {
+	return s.Leaving || serverState.GetIncarnation() == "" || serverState.GetLeaving() || p.in.Down[s.Name] || p.in.State.Evacuated(s.Hall)
 }
 
 func (p *planner) countOrders() {
-	p.roomFor = map[string]bool{}
+	p.makingRoomFor = map[string]bool{}
 	for _, o := range p.in.State.Orders.All() {
 		if o.RoomFor != "" {
-			p.roomFor[o.RoomFor] = true
+			p.makingRoomFor[o.RoomFor] = true
 		}
-		list := p.index[o.Server]
+		list := p.byServer[o.Server]
 		if int(o.Accelerator) >= len(list) {
 			continue
 		}
 		acc := list[o.Accelerator]
-		if o.Action == wire.OrderAction_ORDER_LOAD && !acc.unusable && !slices.Contains(acc.hand, o.Item.Model) { // a server that is down loads nothing
-			p.loads++
+		if o.Action == wire.OrderAction_ORDER_LOAD && !acc.unusable && !slices.Contains(acc.cached, o.Item.Model) { // an unavailable server loads nothing
+			p.openLoads++
 		}
 		if !acc.server.Kind.ChecksFences {
 			acc.busy = true
@@ -272,145 +272,145 @@
 	}
 }
 
-// countResidents books what is resident, and the room of the adapters that each
-// copy still lacks.
+// countResidents accounts for resident items, and reserves memory for the adapters that each copy
+// still misses.
 func (p *planner) countResidents() {
-	for i, place := range p.places {
-		list := p.index[place.Server]
-		if int(place.Accelerator) >= len(list) {
+	for i, loc := range p.locations {
+		list := p.byServer[loc.Server]
+		if int(loc.Accelerator) >= len(list) {
 			continue
 		}
-		acc, r := list[place.Accelerator], p.residents[i]
+		acc, r := list[loc.Accelerator], p.residents[i]
 		acc.free -= int64(r.Memory)
-		if place.Adapter != "" {
+		if loc.Adapter != "" {
 			acc.adapters++
 		}
-		if place.Adapter == "" {
-			if m := p.fleet.Models[place.Model]; m != nil && m.Version == place.Version {
-				acc.models[place.Model] = true
+		if loc.Adapter == "" {
+			if m := p.fleet.Models[loc.Model]; m != nil && m.Version == loc.Version {
+				acc.models[loc.Model] = true
 			}
-			acc.stood++
-			p.copies[place.Model] = append(p.copies[place.Model], copyOf{acc, r})
-			p.reserveAdapters(acc, place)
+			acc.initialModels++
+			p.copies[loc.Model] = append(p.copies[loc.Model], modelCopy{acc, r})
+			p.reserveAdapters(acc, loc)
 		}
 	}
 }
 
-func (p *planner) reserveAdapters(acc *accelerator, place ledger.Location) {
-	m := p.fleet.Models[place.Model]
-	if m == nil || m.Version != place.Version {
+func (p *planner) reserveAdapters(acc *accelerator, loc ledger.Location) {
+	m := p.fleet.Models[loc.Model]
+	if m == nil || m.Version != loc.Version {
 		return
 	}
 	for _, a := range m.Adapters {
-		if p.in.State.Residents.Get(adapterPlace(acc, a)) == nil {
+		if p.in.State.Residents.Get(adapterLocation(acc, a)) == nil {
 			acc.free -= int64(a.Memory)
 		}
 	}
 }
 
-func adapterPlace(acc *accelerator, a *fleet.Adapter) ledger.Location {
+func adapterLocation(acc *accelerator, a *fleet.Adapter) ledger.Location {
 	return ledger.Location{Server: acc.server.Name, Accelerator: acc.number, Model: a.Model, Adapter: a.Name, Version: a.Version}
 }
 
-func (p *planner) order(acc *accelerator, action wire.OrderAction, item *wire.Item, memory uint64, why string) {
-	p.orderFor(acc, action, item, memory, "", why)
+func (p *planner) order(acc *accelerator, action wire.OrderAction, item *wire.Item, memory uint64, reason string) {
+	p.orderFor(acc, action, item, memory, "", reason)
 }
 
-// orderFor is an order that makes room for a model.
-func (p *planner) orderFor(acc *accelerator, action wire.OrderAction, item *wire.Item, memory uint64, roomFor, why string) {
-	p.best = nil // it reckoned without this
+// orderFor orders an unload that makes room for a model.
+func (p *planner) orderFor(acc *accelerator, action wire.OrderAction, item *wire.Item, memory uint64, roomFor, reason string) {
+	p.best = nil // it was computed without this order
 	p.plan.Decisions = append(p.plan.Decisions, Decision{&wire.Order{
 		Action: action, Server: acc.server.Name, ServerIncarnation: p.in.State.Servers.Get(acc.server.Name).GetIncarnation(),
-		Accelerator: acc.number, Item: item, Memory: memory, Reason: why, RoomFor: roomFor,
-	}, why})
+		Accelerator: acc.number, Item: item, Memory: memory, Reason: reason, RoomFor: roomFor,
+	}, reason})
 	if !acc.server.Kind.ChecksFences {
 		acc.busy = true
 	}
 }
 
-// unloads is rule 4. Adapters go before the models that they stand beside.
-func (p *planner) unloads() {
+// planUnloads is rule 4. Adapters are unloaded before the models beside which they are loaded.
+func (p *planner) planUnloads() {
 	for _, adapters := range []bool{true, false} {
-		for i, place := range p.places {
-			if (place.Adapter != "") == adapters {
-				p.unloadUnwanted(place, p.residents[i])
+		for i, loc := range p.locations {
+			if (loc.Adapter != "") == adapters {
+				p.unloadIfUnwanted(loc, p.residents[i])
 			}
 		}
 	}
 }
 
-func (p *planner) unloadUnwanted(place ledger.Location, r *wire.Resident) {
-	acc := p.acc(place)
+func (p *planner) unloadIfUnwanted(loc ledger.Location, r *wire.Resident) {
+	acc := p.acceleratorAt(loc)
 	if r.Phase != wire.Phase_PHASE_READY || acc == nil || acc.busy {
 		return
 	}
-	if why := p.unwanted(place); why != "" {
-		p.order(acc, wire.OrderAction_ORDER_UNLOAD, r.Item, r.Memory, why)
+	if reason := p.unloadReason(loc); reason != "" {
+		p.order(acc, wire.OrderAction_ORDER_UNLOAD, r.Item, r.Memory, reason)
 	}
 }
 
-func (p *planner) acc(place ledger.Location) *accelerator {
-	list := p.index[place.Server]
-	if int(place.Accelerator) >= len(list) {
+func (p *planner) acceleratorAt(loc ledger.Location) *accelerator {
+	list := p.byServer[loc.Server]
+	if int(loc.Accelerator) >= len(list) {
 		return nil
 	}
-	return list[place.Accelerator]
+	return list[loc.Accelerator]
 }
 
 // hasBase reports whether a copy of an adapter's model stays on its accelerator.
-func (p *planner) hasBase(place ledger.Location) bool {
-	acc := p.acc(place)
-	return slices.ContainsFunc(p.copies[place.Model], func(c copyOf) bool {
+func (p *planner) hasBase(loc ledger.Location) bool {
+	acc := p.acceleratorAt(loc)
+	return slices.ContainsFunc(p.copies[loc.Model], func(c modelCopy) bool {
 		return c.acc == acc && c.resident.Phase != wire.Phase_PHASE_UNLOADING
 	})
 }
 
-func (p *planner) unwanted(place ledger.Location) string {
-	if place.Adapter != "" {
-		a := p.fleet.Adapters[place.Adapter]
+func (p *planner) unloadReason(loc ledger.Location) string {
+	if loc.Adapter != "" {
+		a := p.fleet.Adapters[loc.Adapter]
 		if a != nil && a.OnDemand {
 			return "" // goes with its model, or by rule 9
 		}
 		switch {
-		case a == nil || a.Model != place.Model:
+		case a == nil || a.Model != loc.Model:
 			return "not in the fleet file any more"
-		case !p.hasBase(place):
-			return "its model is not there any more"
-		case a.Version != place.Version && p.in.State.ReadyElsewhere(place):
+		case !p.hasBase(loc):
+			return "its model is not loaded there any more"
+		case a.Version != loc.Version && p.in.State.ReadyElsewhere(loc):
 			return "version " + a.Version + " is ready"
 		}
 		return ""
 	}
-	m := p.fleet.Models[place.Model]
+	m := p.fleet.Models[loc.Model]
 	switch {
 	case m == nil:
 		return "not in the fleet file any more"
-	case m.Version != place.Version && p.in.State.ReadyElsewhere(place) && p.in.State.OrphanedAdapter(place) == "":
+	case m.Version != loc.Version && p.in.State.ReadyElsewhere(loc) && p.in.State.OrphanedAdapter(loc) == "":
 		return "version " + m.Version + " is ready"
 	}
 	return ""
 }
 
-// adapters is rule 3.
-func (p *planner) adapters() {
+// planAdapters is rule 3.
+func (p *planner) planAdapters() {
 	for _, m := range p.models {
 		for _, c := range p.copies[m.Name] {
 			if c.resident.Phase == wire.Phase_PHASE_READY && c.resident.Item.Version == m.Version {
-				p.adaptersOf(m, c.acc)
+				p.loadAdapters(m, c.acc)
 			}
 		}
 	}
 }
 
-func (p *planner) adaptersOf(m *fleet.Model, acc *accelerator) {
+func (p *planner) loadAdapters(m *fleet.Model, acc *accelerator) {
 	for _, a := range m.Adapters {
-		if acc.busy || p.in.State.Residents.Get(adapterPlace(acc, a)) != nil || !p.mayLoad() {
+		if acc.busy || p.in.State.Residents.Get(adapterLocation(acc, a)) != nil || !p.mayLoad() {
 			continue
 		}
-		p.loads++
+		p.openLoads++
 		p.order(acc, wire.OrderAction_ORDER_LOAD, &wire.Item{Model: m.Name, Adapter: a.Name, Version: a.Version}, a.Memory, "beside its model "+m.Name)
 	}
 }
 
 // mayLoad is rule 6.
-func (p *planner) mayLoad() bool { return p.loads < p.fleet.LoadsAtOnce }
+func (p *planner) mayLoad() bool { return p.openLoads < p.fleet.LoadsAtOnce }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -23,9 +23,9 @@
 	RunSpecs(t, "placement")
 }
 
-// carryOut issues and closes all orders of a plan as done, and returns how many
-// were issued and how many the ledger turned down.
-func carryOut(st *state.State, plan placement.Plan, check ...func()) (issued, refused int) {
+// execute issues all orders of a plan and closes them as done. It returns how many were issued and
+// how many the ledger refused.
+func execute(st *state.State, plan placement.Plan, check ...func()) (issued, refused int) {
 	for _, d := range plan.Decisions {
 		r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
 		if r.Err != nil {
@@ -41,40 +41,40 @@
 	return issued, refused
 }
 
-// settle decides and carries out until nothing is left to do.
-func settle(st *state.State, demand map[string]placement.Demand) (orders int, plan placement.Plan) {
+// converge decides and executes until nothing is left to do.
+func converge(st *state.State, demand map[string]placement.Demand) (orders int, plan placement.Plan) {
 	for range 400 {
 		plan = placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
-		issued, refused := carryOut(st, plan)
+		issued, refused := execute(st, plan)
 		ExpectWithOffset(1, refused).To(BeZero(), "the plan must respect the ledger")
 		orders += issued
 		if issued == 0 {
 			return orders, plan
 		}
 	}
-	Fail("the decisions never come to rest")
+	Fail("the decisions do not converge")
 	return 0, plan
 }
 
-func agreed(text string) *state.State {
+func newState(text string) *state.State {
 	GinkgoHelper()
 	st, err := standin.Agreed(text)
 	Expect(err).NotTo(HaveOccurred())
 	return st
 }
 
-// copies returns the servers on which a model, or an adapter, is ready.
-func copies(st *state.State, name, version string) (servers []string) {
+// readyOn returns the servers on which a model, or an adapter, is ready.
+func readyOn(st *state.State, name, version string) (servers []string) {
 	for p, r := range st.Residents.All() {
-		isIt := p.Adapter == name || p.Adapter == "" && p.Model == name
-		if isIt && p.Version == version && r.Phase == wire.Phase_PHASE_READY {
+		matches := p.Adapter == name || p.Adapter == "" && p.Model == name
+		if matches && p.Version == version && r.Phase == wire.Phase_PHASE_READY {
 			servers = append(servers, p.Server)
 		}
 	}
 	return servers
 }
 
-const two = `
+const threeServers = `
 [fleet]
 number = 1
 loads-at-once = 8
@@ -106,14 +106,14 @@
 		func(file string) {
 			text, err := os.ReadFile(filepath.Join("..", "examples", file))
 			Expect(err).NotTo(HaveOccurred())
-			st := agreed(string(text))
-			_, plan := settle(st, nil)
+			st := newState(string(text))
+			_, plan := converge(st, nil)
 			Expect(plan.Shortages).To(BeEmpty())
 			for name, m := range st.Fleet.Models {
-				Expect(len(copies(st, name, m.Version))).To(BeNumerically(">=", m.Copies), name)
+				Expect(len(readyOn(st, name, m.Version))).To(BeNumerically(">=", m.Copies), name)
 			}
 			for name, a := range st.Fleet.Adapters {
-				Expect(copies(st, name, a.Version)).NotTo(BeEmpty(), name)
+				Expect(readyOn(st, name, a.Version)).NotTo(BeEmpty(), name)
 			}
 		},
 		Entry(nil, "buecherbruecke.ini"), Entry(nil, "tabua.ini"),
@@ -122,13 +122,13 @@
 	It("gives the same orders for the same input", func() {
 		text, err := os.ReadFile(filepath.Join("..", "examples", "tabua.ini"))
 		Expect(err).NotTo(HaveOccurred())
-		st := agreed(string(text))
+		st := newState(string(text))
 		demand := map[string]placement.Demand{}
 		for i, m := range st.Fleet.SortedModels() {
 			demand[m.Name] = placement.Demand{Requests: 1.1 * float64(i), BusySlots: 0.37 * float64(i)}
 		}
 		st.Fleet.MoveWeight = 0
-		settle(st, nil)
+		converge(st, nil)
 		first := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		Expect(first.Decisions).NotTo(BeEmpty())
 		for range 20 {
@@ -138,102 +138,102 @@
 	})
 
 	It("spreads copies over data halls", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\ncopies = 2\n")
-		settle(st, nil)
-		Expect(copies(st, "m", "1")).To(ContainElement("s3"))
-		Expect(copies(st, "m", "1")).To(HaveLen(2))
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\ncopies = 2\n")
+		converge(st, nil)
+		Expect(readyOn(st, "m", "1")).To(ContainElement("s3"))
+		Expect(readyOn(st, "m", "1")).To(HaveLen(2))
 	})
 
-	It("brings back what a lost server held, the models without a copy first", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\ncopies = 2\n[model n]\nversion = 1\nmemory = 4GiB\nclass = c\n")
-		settle(st, nil)
-		lost := copies(st, "n", "1")[0]
+	It("reloads what a lost server held, models without a copy first", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\ncopies = 2\n[model n]\nversion = 1\nmemory = 4GiB\nclass = c\n")
+		converge(st, nil)
+		lost := readyOn(st, "n", "1")[0]
 		plan := placement.Decide(placement.Input{State: st, Down: map[string]bool{lost: true}})
 		Expect(plan.Decisions).NotTo(BeEmpty())
 		Expect(plan.Decisions[0].Order.Item.Model).To(Equal("n"))
 		Expect(plan.Decisions[0].Reason).To(Equal("no copy"))
 	})
 
-	It("changes a version without a moment in which the model or its adapter has no copy", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1GiB\n")
-		settle(st, nil)
-		next := "# next\n" + two + "[model m]\nversion = 2\nmemory = 4GiB\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1GiB\n"
+	It("changes a version while the model and its adapter always have a copy", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1GiB\n")
+		converge(st, nil)
+		next := "# next\n" + threeServers + "[model m]\nversion = 2\nmemory = 4GiB\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1GiB\n"
 		Expect(standin.Apply(st, next, 2).Apply).To(Equal(state.Accepted))
 		for range 20 {
-			carryOut(st, placement.Decide(placement.Input{State: st}), func() {
-				Expect(len(copies(st, "m", "1")) + len(copies(st, "m", "2"))).To(BeNumerically(">", 0))
-				Expect(copies(st, "x", "1")).NotTo(BeEmpty())
+			execute(st, placement.Decide(placement.Input{State: st}), func() {
+				Expect(len(readyOn(st, "m", "1")) + len(readyOn(st, "m", "2"))).To(BeNumerically(">", 0))
+				Expect(readyOn(st, "x", "1")).NotTo(BeEmpty())
 			})
 		}
-		Expect(copies(st, "m", "1")).To(BeEmpty())
-		Expect(copies(st, "m", "2")).To(HaveLen(1))
-		Expect(copies(st, "x", "1")).To(HaveLen(1))
+		Expect(readyOn(st, "m", "1")).To(BeEmpty())
+		Expect(readyOn(st, "m", "2")).To(HaveLen(1))
+		Expect(readyOn(st, "x", "1")).To(HaveLen(1))
 	})
 
-	It("adds a copy when demand is worth the move, and not when it is not", func() {
-		text := two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
+	It("adds a copy only when demand is worth the move", func() {
+		text := threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
 		heavy := map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}}
-		st := agreed(text)
-		settle(st, heavy)
-		Expect(len(copies(st, "m", "1"))).To(BeNumerically(">=", 2))
-		dear := agreed("# dear\n" + text)
-		dear.Fleet.MoveWeight = 1e9
-		settle(dear, heavy)
-		Expect(copies(dear, "m", "1")).To(HaveLen(1))
+		st := newState(text)
+		converge(st, heavy)
+		Expect(len(readyOn(st, "m", "1"))).To(BeNumerically(">=", 2))
+		expensive := newState("# expensive\n" + text)
+		expensive.Fleet.MoveWeight = 1e9
+		converge(expensive, heavy)
+		Expect(readyOn(expensive, "m", "1")).To(HaveLen(1))
 	})
 
 	It("leaves copies where they are when demand falls", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
-		settle(st, map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}})
-		orders, _ := settle(st, map[string]placement.Demand{"m": {Requests: 1, BusySlots: 1}})
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
+		converge(st, map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}})
+		orders, _ := converge(st, map[string]placement.Demand{"m": {Requests: 1, BusySlots: 1}})
 		Expect(orders).To(BeZero())
 	})
 
-	It("takes a copy that can be spared to make room for a model without one", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	It("evicts a surplus copy to make room for a model without one", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
-		settle(st, nil)
-		Expect(copies(st, "n", "1")).To(HaveLen(1))
-		Expect(copies(st, "m", "1")).To(HaveLen(2))
+		converge(st, nil)
+		Expect(readyOn(st, "n", "1")).To(HaveLen(1))
+		Expect(readyOn(st, "m", "1")).To(HaveLen(2))
 	})
 
-	DescribeTable("shifts what stands in the way of a model that fits in sum only (8)",
+	DescribeTable("relocates copies that block a model that fits only into the total free memory (8)",
 		func(models, ready map[string]string, want string, orders int) {
-			text := two
+			text := threeServers
 			for _, name := range slices.Sorted(maps.Keys(models)) {
 				text += "[model " + name + "]\nversion = 1\nclass = c\nmemory = " + models[name] + "\n"
 			}
-			st := agreed(text)
+			st := newState(text)
 			for name, server := range ready {
 				standin.Ready(st, server, 0, &wire.Item{Model: name, Version: "1"}, st.Fleet.Models[name].Memory)
 			}
-			for range 30 { // at each order every model but the new one keeps a copy
-				carryOut(st, placement.Decide(placement.Input{State: st}), func() {
+			for range 30 { // after each order every model but the new one keeps a copy
+				execute(st, placement.Decide(placement.Input{State: st}), func() {
 					for name := range ready {
-						Expect(copies(st, name, "1")).NotTo(BeEmpty(), name)
+						Expect(readyOn(st, name, "1")).NotTo(BeEmpty(), name)
 					}
 				})
 			}
-			Expect(copies(st, want, "1")).To(HaveLen(1))
+			Expect(readyOn(st, want, "1")).To(HaveLen(1))
 			Expect(int(st.Index)-7).To(Equal(2*orders), "orders, each issued and closed")
-			_, plan := settle(st, nil)
+			_, plan := converge(st, nil)
 			Expect(plan.Shortages).To(BeEmpty())
 		},
-		Entry("by one shift", map[string]string{"a": "6GiB", "b": "4GiB", "c": "4GiB", "new": "7GiB"},
+		Entry("by one relocation", map[string]string{"a": "6GiB", "b": "4GiB", "c": "4GiB", "new": "7GiB"},
 			map[string]string{"a": "s1", "b": "s2", "c": "s3"}, "new", 3),
-		Entry("by two shifts", map[string]string{"a": "7GiB", "b": "3GiB", "c": "3GiB", "d": "7GiB", "new": "10GiB"},
+		Entry("by two relocations", map[string]string{"a": "7GiB", "b": "3GiB", "c": "3GiB", "d": "7GiB", "new": "10GiB"},
 			map[string]string{"a": "s1", "b": "s2", "c": "s2", "d": "s3"}, "new", 5),
 	)
 
-	It("waits for a shift that is under way", func() {
-		text := two + "[server s4]\naddress = 127.0.0.1:4\nhall = b\nkind = k\n"
+	It("waits for a relocation that is under way", func() {
+		text := threeServers + "[server s4]\naddress = 127.0.0.1:4\nhall = b\nkind = k\n"
 		ready := map[string]int{"a": 6, "b": 4, "c": 4, "d": 6}
 		for name, size := range ready {
 			text += fmt.Sprintf("[model %s]\nversion = 1\nclass = c\nmemory = %dGiB\n", name, size)
 		}
-		st := agreed(text + "[model new]\nversion = 1\nclass = c\nmemory = 7GiB\n")
+		st := newState(text + "[model new]\nversion = 1\nclass = c\nmemory = 7GiB\n")
 		for name, server := range map[string]string{"a": "s1", "b": "s2", "c": "s3", "d": "s4"} {
 			standin.Ready(st, server, 0, &wire.Item{Model: name, Version: "1"}, uint64(ready[name])<<30)
 		}
@@ -243,8 +243,8 @@
 		Expect(placement.Decide(placement.Input{State: st}).Decisions).To(BeEmpty())
 	})
 
-	It("says so when shifting does not help", func() {
-		st := agreed(two + "[model a]\nversion = 1\nmemory = 6GiB\nclass = c\n[model b]\nversion = 1\nmemory = 6GiB\nclass = c\n[model c]\nversion = 1\nmemory = 6GiB\nclass = c\n")
+	It("reports a shortage when relocation does not help", func() {
+		st := newState(threeServers + "[model a]\nversion = 1\nmemory = 6GiB\nclass = c\n[model b]\nversion = 1\nmemory = 6GiB\nclass = c\n[model c]\nversion = 1\nmemory = 6GiB\nclass = c\n")
 		st.Fleet.Models["a"].Memory = 10 << 30 // as if a server had been lost
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "b", Version: "1"}, 6<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "c", Version: "1"}, 6<<30)
@@ -254,15 +254,15 @@
 	})
 
 	It("opens no more loads at once than the weight store serves", func() {
-		text := two
+		text := threeServers
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
 			text += "[model " + name + "]\nversion = 1\nmemory = 1GiB\nclass = c\n"
 		}
-		Expect(placement.Decide(placement.Input{State: agreed(text)}).Decisions).To(HaveLen(8))
+		Expect(placement.Decide(placement.Input{State: newState(text)}).Decisions).To(HaveLen(8))
 	})
 
-	It("gives no orders to a server that leaves, is down or is not known yet", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\ncopies = 3\nmax-copies = 3\n")
+	It("gives no orders to a server that is draining, down or not known yet", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\ncopies = 3\nmax-copies = 3\n")
 		st.Servers.Get("s1").Leaving = true
 		st.Servers.Delete("s2")
 		plan := placement.Decide(placement.Input{State: st, Down: map[string]bool{"s3": true}})
@@ -270,18 +270,18 @@
 		Expect(plan.Shortages).To(HaveLen(1))
 	})
 
-	It("gives no orders to servers that another leader ordered lately, and counts their copies", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
-		held := map[string]bool{"s1": true, "s2": true, "s3": true}
-		Expect(placement.Decide(placement.Input{State: st, NoOrders: held}).Decisions).To(BeEmpty())
+	It("gives no orders to servers with recent orders of another leader, and counts their copies", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
+		noOrders := map[string]bool{"s1": true, "s2": true, "s3": true}
+		Expect(placement.Decide(placement.Input{State: st, NoOrders: noOrders}).Decisions).To(BeEmpty())
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 4<<30)
 		Expect(placement.Decide(placement.Input{State: st, NoOrders: map[string]bool{"s1": true}}).Decisions).To(BeEmpty())
 	})
 
-	// A new leader to which demand was not told yet took hot copies away for models
-	// that nobody asked for.
-	It("makes no room for models that the leader is patient with (13)", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	// Guards against a new leader that evicts copies with demand for models without any because it
+	// has no demand reports yet.
+	It("makes no room for models that the leader defers (13)", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		for _, server := range []string{"s1", "s2", "s3"} {
 			standin.Ready(st, server, 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		}
@@ -289,8 +289,8 @@
 		Expect(placement.Decide(placement.Input{State: st}).Decisions).NotTo(BeEmpty())
 	})
 
-	It("takes the last copy of an idle model where it stays at hand, for one that is asked for (14)", func() {
-		st := agreed(two + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	It("evicts the last copy of an idle model where it stays cached, for a requested one (14)", func() {
+		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		in := placement.Input{
 			State: st, Demand: map[string]placement.Demand{"n": {Requests: 5, BusySlots: 1}}, Down: map[string]bool{"s2": true, "s3": true},
@@ -300,16 +300,16 @@
 		st.Servers.Get("s1").AtHand = []string{"m"}
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("m"))
 		in.Idle = nil
-		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("m"), "nor does one that nobody asked for yet stay (15)")
+		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("m"), "a model without any requests so far does not stay either (15)")
 		in.Demand["m"] = placement.Demand{Requests: 0.2, LongTermRequests: 2}
-		Expect(placement.Decide(in).Decisions).To(BeEmpty(), "m is asked for all the time")
+		Expect(placement.Decide(in).Decisions).To(BeEmpty(), "m is requested all the time")
 	})
 
-	Describe("where models are at hand (15)", func() {
+	Describe("where models are cached (15)", func() {
 		var st *state.State
 		var in placement.Input
 		BeforeEach(func() {
-			st = agreed(two + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+			st = newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 			st.Fleet.DemandLasts, st.Fleet.MoveWeight = 15*time.Second, 3
 			standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 			st.Servers.Get("s2").AtHand = []string{"rare", "hot"}
@@ -317,33 +317,33 @@
 		})
 		hot := placement.Demand{Requests: 40, LongTermRequests: 40, PrefillLoad: 0.9}
 
-		It("takes the last copy of a rare model for one that is asked for all the time", func() {
+		It("evicts the last copy of a rare model for one that is requested all the time", func() {
 			standin.Ready(st, "s2", 0, &wire.Item{Model: "rare", Version: "1"}, 7<<30)
 			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "hot")))
 			in.Demand["rare"] = placement.Demand{Requests: 4, LongTermRequests: 4}
-			Expect(placement.Decide(in).Decisions).To(BeEmpty(), "it is asked for too often to come and go")
+			Expect(placement.Decide(in).Decisions).To(BeEmpty(), "it is requested too often to be evicted")
 			in.Demand = map[string]placement.Demand{"hot": {Requests: 5, LongTermRequests: 5, PrefillLoad: 0.26}}
-			Expect(placement.Decide(in).Decisions).To(BeEmpty(), "a little gain is not worth it, though nobody asked for the other yet")
+			Expect(placement.Decide(in).Decisions).To(BeEmpty(), "a small gain is not worth it, though the other has had no requests yet")
 		})
 
-		It("leaves the room that was made to whom it was made for", func() {
+		It("leaves freed memory to the model that it was freed for", func() {
 			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("hot"))
 		})
 
-		It("brings a model back that is asked for", func() {
+		It("loads a requested model again", func() {
 			standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 			in.Demand = map[string]placement.Demand{"hot": {Requests: 1, LongTermRequests: 1, PrefillLoad: 0.1}, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "rare")))
-			// It rose from nothing to most of all requests within seconds, and what it was
-			// asked for on average would have left it without a copy for the whole time.
+			// Its demand rose from nothing to most of all requests within seconds; judged by its
+			// average rate, it would have stayed without a copy all the time.
 			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 100, LongTermRequests: 20, PrefillLoad: 0.3, BusySlots: 12}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "rare")))
 		})
 
 		It("makes room for a model on one server at a time (11)", func() {
-			st = agreed(two + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model a]\nversion = 1\nmemory = 7GiB\nclass = c\n[model b]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+			st = newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model a]\nversion = 1\nmemory = 7GiB\nclass = c\n[model b]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 			for server, model := range map[string]string{"s2": "a", "s3": "b"} {
 				standin.Ready(st, server, 0, &wire.Item{Model: model, Version: "1"}, 7<<30)
 				st.Servers.Get(server).AtHand = []string{"a", "b", "hot"}
@@ -354,25 +354,25 @@
 		})
 	})
 
-	It("takes no busy copy for a model that is at hand and asked for now and then (15)", func() {
-		st := agreed(two + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	It("evicts no busy copy for a model that is cached and requested now and then (15)", func() {
+		st := newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		in := placement.Input{
 			State: st, Down: map[string]bool{"s3": true}, LeaderFor: time.Hour,
 			Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.8}, "rare": {Requests: 1, LongTermRequests: 0.3}},
 		}
-		Expect(placement.Decide(in).Decisions).NotTo(BeEmpty(), "nothing has it: it must stay reachable")
+		Expect(placement.Decide(in).Decisions).NotTo(BeEmpty(), "no server has it cached: it must stay reachable")
 		st.Servers.Get("s2").AtHand = []string{"rare"}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty())
 		in.Demand["hot"] = placement.Demand{Requests: 1, PrefillLoad: 0.02}
-		Expect(placement.Decide(in).Decisions[0].Order.RoomFor).To(Equal("rare"), "where that costs little it has its place")
+		Expect(placement.Decide(in).Decisions[0].Order.RoomFor).To(Equal("rare"), "it is loaded where that costs little")
 	})
 
-	const more = "[server s4]\naddress = 127.0.0.1:4\nhall = b\nkind = k\n[server s5]\naddress = 127.0.0.1:5\nhall = b\nkind = k\n"
+	const twoMoreServers = "[server s4]\naddress = 127.0.0.1:4\nhall = b\nkind = k\n[server s5]\naddress = 127.0.0.1:5\nhall = b\nkind = k\n"
 
-	It("loads where room is free while room is being made for the model (11)", func() {
-		st := agreed(two + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model idle]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	It("loads into free memory while room is being made for the model (11)", func() {
+		st := newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model idle]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		st.Orders.Set(9, &wire.Order{Id: 9, Action: wire.OrderAction_ORDER_UNLOAD, Server: "s2", Item: &wire.Item{Model: "idle", Version: "1"}, RoomFor: "hot"})
@@ -384,8 +384,8 @@
 		Expect(plan.Decisions[0].Order.Item.Model).To(Equal("hot"))
 	})
 
-	It("waits for a server that takes no order yet rather than take a copy that many need (16)", func() {
-		st := agreed(two + more + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model idle]\nversion = 1\nmemory = 7GiB\nclass = c\n[model new]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	It("waits for a server that takes no order yet rather than evict a copy that many need (16)", func() {
+		st := newState(threeServers + twoMoreServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model idle]\nversion = 1\nmemory = 7GiB\nclass = c\n[model new]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
@@ -398,11 +398,11 @@
 		in.NoOrders = nil
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("idle"))
 		in.NoOrders, in.Down = map[string]bool{"s1": true, "s5": true}, map[string]bool{"s3": true, "s4": true, "s5": true}
-		Expect(placement.Decide(in).Decisions[0].Order.Server).To(Equal("s2"), "no other way is in sight")
+		Expect(placement.Decide(in).Decisions[0].Order.Server).To(Equal("s2"), "there is no other way")
 	})
 
 	It("counts no loads on servers that are down (6)", func() {
-		st := agreed(two + more + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+		st := newState(threeServers + twoMoreServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		st.Fleet.LoadsAtOnce = 1
 		st.Orders.Set(9, &wire.Order{Id: 9, Action: wire.OrderAction_ORDER_LOAD, Server: "s5", Item: &wire.Item{Model: "hot", Version: "1"}})
 		in := placement.Input{State: st, LeaderFor: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 1}}}
@@ -411,8 +411,8 @@
 		Expect(placement.Decide(in).Decisions).NotTo(BeEmpty())
 	})
 
-	It("takes the copy that goes soon (5)", func() {
-		st := agreed(two + more + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model a]\nversion = 1\nmemory = 7GiB\nclass = c\n[model b]\nversion = 1\nmemory = 7GiB\nclass = c\n")
+	It("evicts the copy whose eviction is fastest (5)", func() {
+		st := newState(threeServers + twoMoreServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model a]\nversion = 1\nmemory = 7GiB\nclass = c\n[model b]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		standin.Ready(st, "s2", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
@@ -423,10 +423,10 @@
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("b"))
 	})
 
-	// With 102 requests a second on one copy, the weight store's rate went to models
-	// that were asked for once in seconds.
+	// With 102 requests per second on one copy, the weight store's capacity went to models that
+	// were requested once in several seconds.
 	It("loads what serves the most requests first (1)", func() {
-		st := agreed(two + "[model hot]\nversion = 1\nmemory = 4GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 4GiB\nclass = c\n")
+		st := newState(threeServers + "[model hot]\nversion = 1\nmemory = 4GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 4GiB\nclass = c\n")
 		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 4<<30)
 		demand := map[string]placement.Demand{"hot": {Requests: 100, BusySlots: 30}, "rare": {Requests: 0.3, BusySlots: 0.1}}
 		plan := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
@@ -434,13 +434,13 @@
 		Expect(plan.Decisions).To(ContainElement(HaveField("Reason", "no copy")))
 	})
 
-	It("weighs a move by how long demand lasts", func() {
-		text := two + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
+	It("values a move by how long demand lasts", func() {
+		text := threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
 		heavy := map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}}
-		brief := agreed(text)
+		brief := newState(text)
 		brief.Fleet.DemandLasts, brief.Fleet.MoveWeight = time.Second, 0.1
 		brief.Fleet.Models["m"].LoadTime = 2 * time.Second
-		settle(brief, heavy)
-		Expect(copies(brief, "m", "1")).To(HaveLen(1), "it would come too late")
+		converge(brief, heavy)
+		Expect(readyOn(brief, "m", "1")).To(HaveLen(1), "it would be loaded too late")
 	})
 })
--- a/placement/repack.go
+++ b/placement/repack.go
@@ -8,53 +8,53 @@
 	"leverdrum/wire"
 )
 
-// repackTries bounds the accelerators that are looked at for one model, those
-// that lack the least room first.
-const repackTries = 32
+// maxRepackCandidates limits the accelerators that are tried for one model, those that miss the
+// least memory first.
+const maxRepackCandidates = 32
 
-// shift is one copy that is to stand elsewhere.
-type shift struct {
+// relocation is one copy that is to be loaded elsewhere.
+type relocation struct {
 	model *fleet.Model
 	to    *accelerator
 }
 
 // repack is rule 8. It reports whether room is being made for the model.
 func (p *planner) repack(m *fleet.Model) bool {
-	if p.shiftsUnderWay(m) {
+	if p.relocationUnderWay(m) {
 		return true
 	}
-	var best []shift
-	for _, a := range p.closest(m) {
-		shifts, ok := p.shiftsFrom(a, int64(m.Footprint())-a.free)
-		if ok && (best == nil || bytesOf(shifts) < bytesOf(best)) {
-			best = shifts
+	var best []relocation
+	for _, a := range p.closestToFitting(m) {
+		relocations, ok := p.relocationsFrom(a, int64(m.Footprint())-a.free)
+		if ok && (best == nil || bytesOf(relocations) < bytesOf(best)) {
+			best = relocations
 		}
 	}
-	for _, s := range best {
+	for _, r := range best {
 		if p.mayLoad() {
-			p.load(s.model, s.to, "stands in the way of "+m.Name)
+			p.loadCopy(r.model, r.to, "relocated to make room for "+m.Name)
 		}
 	}
 	return best != nil
 }
 
-func bytesOf(list []shift) (sum uint64) {
-	for _, s := range list {
-		sum += s.model.Footprint()
+func bytesOf(list []relocation) (sum uint64) {
+	for _, r := range list {
+		sum += r.model.Footprint()
 	}
 	return sum
 }
 
-// shiftsUnderWay reports whether some accelerator will have room for the model
-// once copies that are coming elsewhere can be spared there.
-func (p *planner) shiftsUnderWay(m *fleet.Model) bool {
+// relocationUnderWay reports whether some accelerator will have enough memory for the model once
+// copies there become surplus because others are loading elsewhere.
+func (p *planner) relocationUnderWay(m *fleet.Model) bool {
 	for _, a := range p.accs {
 		if a.models[m.Name] || !m.MayRunOn(a.server) || a.unusable {
 			continue
 		}
 		room := a.free
 		for name := range a.models {
-			if other := p.fleet.Models[name]; other != nil && len(p.serving(other)) > p.least(other) {
+			if other := p.fleet.Models[name]; other != nil && len(p.serving(other)) > p.minCopies(other) {
 				room += int64(other.Footprint())
 			}
 		}
@@ -65,51 +65,51 @@
 	return false
 }
 
-// closest returns the accelerators that lack the least room for the model.
-func (p *planner) closest(m *fleet.Model) []*accelerator {
+// closestToFitting returns the accelerators that miss the least memory for the model.
+func (p *planner) closestToFitting(m *fleet.Model) []*accelerator {
 	var list []*accelerator
 	for _, a := range p.accs {
-		if p.mayHold(m, a) {
+		if p.canPlace(m, a) {
 			list = append(list, a)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *accelerator) int { return cmp.Compare(b.free, a.free) })
-	return list[:min(len(list), repackTries)]
+	return list[:min(len(list), maxRepackCandidates)]
 }
 
-// shiftsFrom returns shifts of copies off an accelerator so that so many bytes
-// become free: one copy if one is enough, else the largest first.
-func (p *planner) shiftsFrom(a *accelerator, bytes int64) ([]shift, bool) {
-	models := p.movable(a)
+// relocationsFrom returns relocations of copies off an accelerator that free so many bytes: one
+// copy if one is enough, otherwise the largest first.
+func (p *planner) relocationsFrom(a *accelerator, bytes int64) ([]relocation, bool) {
+	models := p.relocatable(a)
 	for _, m := range models {
-		if to := p.elsewhere(m, a, nil); int64(m.Footprint()) >= bytes && to != nil {
-			return []shift{{m, to}}, true
+		if target := p.relocationTarget(m, a, nil); int64(m.Footprint()) >= bytes && target != nil {
+			return []relocation{{m, target}}, true
 		}
 	}
-	var shifts []shift
+	var relocations []relocation
 	for _, m := range slices.Backward(models) {
-		to := p.elsewhere(m, a, shifts)
-		if to == nil {
+		target := p.relocationTarget(m, a, relocations)
+		if target == nil {
 			continue
 		}
-		shifts = append(shifts, shift{m, to})
+		relocations = append(relocations, relocation{m, target})
 		if bytes -= int64(m.Footprint()); bytes <= 0 {
-			return shifts, true
+			return relocations, true
 		}
 	}
 	return nil, false
 }
 
-// movable returns the models with a ready copy on an accelerator, about which no
-// order is open, the smallest first.
-func (p *planner) movable(a *accelerator) []*fleet.Model {
+// relocatable returns the models with a ready copy on an accelerator and without an open order
+// there, the smallest first.
+func (p *planner) relocatable(a *accelerator) []*fleet.Model {
 	var list []*fleet.Model
 	for name := range a.models {
 		m := p.fleet.Models[name]
-		if m == nil || !p.settled(m, a) {
+		if m == nil || !p.noOpenOrder(m, a) {
 			continue
 		}
-		ready := func(c copyOf) bool { return c.acc == a && c.resident.Phase == wire.Phase_PHASE_READY }
+		ready := func(c modelCopy) bool { return c.acc == a && c.resident.Phase == wire.Phase_PHASE_READY }
 		if slices.ContainsFunc(p.serving(m), ready) {
 			list = append(list, m)
 		}
@@ -120,18 +120,18 @@
 	return list
 }
 
-// elsewhere returns the accelerator with the least room that takes the model
-// besides what is to be shifted there already.
-func (p *planner) elsewhere(m *fleet.Model, not *accelerator, shifts []shift) *accelerator {
+// relocationTarget returns the accelerator with the least free memory that fits the model besides
+// the relocations already planned there.
+func (p *planner) relocationTarget(m *fleet.Model, except *accelerator, planned []relocation) *accelerator {
 	var best *accelerator
 	for _, a := range p.accs {
-		if a == not || !p.fits(m, a) || best != nil && a.free >= best.free {
+		if a == except || !p.fits(m, a) || best != nil && a.free >= best.free {
 			continue
 		}
 		room := a.free
-		for _, s := range shifts {
-			if s.to == a {
-				room -= int64(s.model.Footprint())
+		for _, r := range planned {
+			if r.to == a {
+				room -= int64(r.model.Footprint())
 			}
 		}
 		if room >= int64(m.Footprint()) {
