--- a/box/answer.go
+++ b/box/answer.go
@@ -15,7 +15,7 @@
 func (b *Box) answer(ctx context.Context, p *parts, from *wire.Member, r *wire.Request) *wire.Response {
 	switch k := r.Kind.(type) {
 	case *wire.Request_Follow:
-		u, err := p.spread.Answer(ctx, from, k.Follow)
+		u, err := p.spread.AnswerFollow(ctx, from, k.Follow)
 		if err != nil {
 			return notReady()
 		}
--- a/box/apply_test.go
+++ b/box/apply_test.go
@@ -28,7 +28,7 @@
 }
 
 // loneLeader leads a cluster whose list names two more boxes, which never ask for news.
-func loneLeader(t *testing.T, accept spread.Patience) *parts {
+func loneLeader(t *testing.T, accept spread.AckTimeouts) *parts {
 	r, err := replica.New(replica.Options{
 		Core:    consensus.Options{ID: "a/1", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
 		Storage: onlyVoter{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(err error) { t.Error(err) }, Log: zap.NewNop(),
@@ -59,7 +59,7 @@
 func TestAnOvertakenFileIsAcknowledgedWithTheOneInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		wait := spread.Patience{All: 600 * time.Millisecond, Most: 2 * time.Second}
+		wait := spread.AckTimeouts{AllBoxes: 600 * time.Millisecond, Majority: 2 * time.Second}
 		p := loneLeader(t, wait)
 		defer p.replica.Close()
 		for i, row := range []struct {
@@ -79,7 +79,7 @@
 			answer, err := leadApply(context.Background(), p, row.file)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(answer.Apply.Outcome).To(BeEquivalentTo(row.outcome), "row %d", i)
-			g.Expect(time.Since(began) >= wait.Most).To(Equal(row.waits), "row %d", i)
+			g.Expect(time.Since(began) >= wait.Majority).To(Equal(row.waits), "row %d", i)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 func TestAFileIsReadWithoutTheRestOfTheState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := loneLeader(t, spread.Patience{})
+		p := loneLeader(t, spread.AckTimeouts{})
 		defer p.replica.Close()
 		file := numberedFile(3, "first")
 		_, err := leadApply(context.Background(), p, file)
--- a/box/box.go
+++ b/box/box.go
@@ -90,7 +90,7 @@
 type parts struct {
 	regions   map[string]string // of data halls, by the settings
 	replica   *replica.Replica
-	spread    *spread.Spreader
+	spread    *spread.Distributor
 	directory *route.Directory
 	entry     *entry.Entry
 	admin     *admin.Admin
@@ -106,7 +106,7 @@
 	pushback  *pushback.Registry
 	drains    *drains
 	// accept is how long an apply waits for the boxes.
-	accept spread.Patience
+	accept spread.AckTimeouts
 }
 
 // Start opens everything and returns once the box listens. It goes on in the
@@ -306,12 +306,12 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p := &parts{replica: r, regions: s.Regions, directory: route.NewDirectory(s.Hall), accept: spread.Patience{All: s.AcceptWait, Most: s.AcceptMost}, notices: make(chan gateway.Notice, noticesLength)}
+	p := &parts{replica: r, regions: s.Regions, directory: route.NewDirectory(s.Hall), accept: spread.AckTimeouts{AllBoxes: s.AcceptWait, Majority: s.AcceptMost}, notices: make(chan gateway.Notice, noticesLength)}
 	b.id.follow(func() level.Level { return r.View().Level })
 	p.crashes = newCrashes(state.ProcessID(self), b.log, b.meters)
 	p.spread = spread.New(spread.Options{
-		Replica: r, Caller: b.pool, Self: self, Seeds: slices.Sorted(maps.Keys(s.Boxes)), ConfigLease: s.ConfigLease,
-		Callers: func() []string {
+		Replica: r, Client: b.pool, Self: self, Seeds: slices.Sorted(maps.Keys(s.Boxes)), ConfigLease: s.ConfigLease,
+		RecentCallers: func() []string {
 			if len(r.View().Members) == 0 {
 				return b.callers.all()
 			}
--- a/box/lead.go
+++ b/box/lead.go
@@ -74,7 +74,7 @@
 // the majority of the list that they know.
 func mayJoin(p *parts, m *wire.Member) bool {
 	members := p.replica.View().Members
-	return len(members) == 0 || members[m.GetBox()] != nil || p.spread.HearsMajority()
+	return len(members) == 0 || members[m.GetBox()] != nil || p.spread.SeesMajority()
 }
 
 // leadApply has the file agreed, and then waits until it, or the newer one that is in force
@@ -92,7 +92,7 @@
 	}
 	answer := &wire.ApplyResult{Outcome: string(result.Apply), Winner: result.Winner, Index: result.Winner.GetIndex()}
 	if result.Apply != state.Invalid {
-		have, boxes := p.spread.AwaitInForce(ctx, answer.Index, p.accept)
+		have, boxes := p.spread.AwaitApplied(ctx, answer.Index, p.accept)
 		answer.InForce, answer.Boxes = uint32(have), uint32(boxes)
 	}
 	return &wire.ForwardAnswer{Apply: answer}, nil
--- a/box/quotas.go
+++ b/box/quotas.go
@@ -47,7 +47,7 @@
 	of      leased
 	self    string
 	replica *replica.Replica
-	spread  *spread.Spreader
+	spread  *spread.Distributor
 	pool    *peer.Pool
 	lessor  *rate.Lessor
 	limiter *rate.Limiter
@@ -57,7 +57,7 @@
 	failed map[string]time.Duration // boxes that did not answer, and when
 }
 
-func newQuotas(of leased, self *wire.Member, r *replica.Replica, s *spread.Spreader, pool *peer.Pool) *quotas {
+func newQuotas(of leased, self *wire.Member, r *replica.Replica, s *spread.Distributor, pool *peer.Pool) *quotas {
 	now := clock.New().Now
 	q := &quotas{of: of, self: self.Box, replica: r, spread: s, pool: pool, now: now, failed: map[string]time.Duration{}}
 	q.lessor = rate.NewLessor(state.ProcessID(self), now)
@@ -160,7 +160,7 @@
 
 // lessorBox returns whom to ask now.
 func (q *quotas) lessorBox() string {
-	age, heard := q.spread.Age()
+	age, heard := q.spread.StateAge()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return lessorOf(q.replica.View().Members, lessorChoice{
--- a/control/boxes.go
+++ b/control/boxes.go
@@ -70,7 +70,7 @@
 			silent = append(silent, m)
 		}
 	}
-	if len(silent) == 0 || !c.opts.Spread.HearsMajority() {
+	if len(silent) == 0 || !c.opts.Spread.SeesMajority() {
 		return
 	}
 	m := silent[0]
--- a/control/control.go
+++ b/control/control.go
@@ -78,7 +78,7 @@
 // Options make a Controller.
 type Options struct {
 	Replica *replica.Replica
-	Spread  *spread.Spreader
+	Spread  *spread.Distributor
 	Engines func(name, address string) engine.Server
 	// Counting speaks to servers that count orders; nil when there are none.
 	Counting engine.Counting
--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -80,7 +80,7 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	replica *replica.Replica
-	spread  *spread.Spreader
+	spread  *spread.Distributor
 }
 
 func (p *process) ended() bool { return p.ctx.Err() != nil }
@@ -164,7 +164,7 @@
 	if r.GetProbe() != nil {
 		return &wire.Response{Kind: &wire.Response_Probe{Probe: to.spread.AnswerProbe()}}, nil
 	}
-	u, err := to.spread.Answer(ctx, from, r.GetFollow())
+	u, err := to.spread.AnswerFollow(ctx, from, r.GetFollow())
 	return &wire.Response{Kind: &wire.Response_Follow{Follow: u}}, err
 }
 
@@ -224,7 +224,7 @@
 		}
 	}
 	p.spread = spread.New(spread.Options{
-		Replica: r, Caller: link{c, p}, Self: self, Seeds: seeds, ConfigLease: c.lease, Callers: func() []string { return nil },
+		Replica: r, Client: link{c, p}, Self: self, Seeds: seeds, ConfigLease: c.lease, RecentCallers: func() []string { return nil },
 		Demand: func() []*wire.Demand { return nil }, Log: zap.NewNop(),
 	})
 	c.mu.Lock()
@@ -260,7 +260,7 @@
 		if !proto.Equal(p.replica.View().Members[p.self.Box], p.self) {
 			if to := c.process(p.self.Box, wire.BoxOf(p.spread.Leader())); to != nil {
 				members := to.replica.View().Members
-				if len(members) == 0 || members[p.self.Box] != nil || to.spread.HearsMajority() {
+				if len(members) == 0 || members[p.self.Box] != nil || to.spread.SeesMajority() {
 					c.propose(to, &wire.Command{Kind: &wire.Command_Join{Join: p.self}})
 				}
 			}
@@ -323,7 +323,7 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, 20*time.Second)
 	defer cancel()
-	p.spread.AwaitInForce(ctx, result.Winner.GetIndex(), spread.Patience{All: 600 * time.Millisecond, Most: time.Hour})
+	p.spread.AwaitApplied(ctx, result.Winner.GetIndex(), spread.AckTimeouts{AllBoxes: 600 * time.Millisecond, Majority: time.Hour})
 	if ctx.Err() != nil {
 		return
 	}
--- a/spread/demand.go
+++ b/spread/demand.go
@@ -15,7 +15,7 @@
 	forgetDemand = 3 * time.Second
 )
 
-func (s *Spreader) noteDemand(child string, f *wire.Follow) {
+func (s *Distributor) noteDemand(child string, f *wire.Follow) {
 	if len(f.Demand) == 0 {
 		return
 	}
@@ -26,7 +26,7 @@
 
 // Demand returns what this box and all that ask through it were asked for, by
 // model.
-func (s *Spreader) Demand() map[string]*wire.Demand {
+func (s *Distributor) Demand() map[string]*wire.Demand {
 	sum := map[string]*wire.Demand{}
 	if s.opts.Demand != nil {
 		addDemand(sum, s.opts.Demand())
@@ -58,7 +58,7 @@
 }
 
 // dueDemand returns the subtree's demand when it is time to report it.
-func (s *Spreader) dueDemand() []*wire.Demand {
+func (s *Distributor) dueDemand() []*wire.Demand {
 	if !s.due(&s.demandAt, demandEvery) {
 		return nil
 	}
--- a/spread/evidence.go
+++ b/spread/evidence.go
@@ -22,8 +22,8 @@
 // String returns the name as it stands in logs.
 func (e evidence) String() string { return evidenceNames[e] }
 
-func (s *Spreader) evidence() evidence {
-	age, fresh := s.Age()
+func (s *Distributor) evidence() evidence {
+	age, fresh := s.StateAge()
 	switch {
 	case fresh && age <= s.opts.ConfigLease:
 		return byLeader
@@ -35,7 +35,7 @@
 	return byNone
 }
 
-func (s *Spreader) logEvidence(before, now evidence) {
+func (s *Distributor) logEvidence(before, now evidence) {
 	view := s.opts.Replica.View()
 	event.CurrentBy.Log(s.opts.Log, zap.Stringer("by", now), zap.Stringer("before", before),
 		zap.Uint64("index", view.Index), zap.Uint64("number", view.Version.GetNumber()),
@@ -44,7 +44,7 @@
 
 // newestKnown returns the index of the newest fleet file that the own log or an answer to a
 // probe has shown, accepted or not.
-func (s *Spreader) newestKnown() uint64 {
+func (s *Distributor) newestKnown() uint64 {
 	newest := s.opts.Replica.Status().NewestFile
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -43,7 +43,7 @@
 type node struct {
 	self    *wire.Member
 	replica *replica.Replica
-	spread  *spread.Spreader
+	spread  *spread.Distributor
 }
 
 // caller asks in the name of one box.
@@ -90,7 +90,7 @@
 	if r.GetProbe() != nil {
 		return &wire.Response{Kind: &wire.Response_Probe{Probe: to.spread.AnswerProbe()}}, nil
 	}
-	u, err := to.spread.Answer(ctx, c.from, r.GetFollow())
+	u, err := to.spread.AnswerFollow(ctx, c.from, r.GetFollow())
 	if err != nil {
 		return nil, err
 	}
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	s := spread.New(spread.Options{
-		Replica: r, Caller: caller{f, self}, Self: self, Seeds: seeds, ConfigLease: time.Hour,
+		Replica: r, Client: caller{f, self}, Self: self, Seeds: seeds, ConfigLease: time.Hour,
 		Demand: func() []*wire.Demand { return nil }, Log: zap.NewNop(),
 	})
 	f.mu.Lock()
@@ -280,7 +280,7 @@
 func (f *fleet) took(t *testing.T, ctx context.Context, box, from string) time.Duration {
 	began := time.Now()
 	to := f.boxes[box]
-	if _, err := to.spread.Answer(ctx, f.boxes[from].self, &wire.Follow{Index: to.replica.View().Index}); err != nil {
+	if _, err := to.spread.AnswerFollow(ctx, f.boxes[from].self, &wire.Follow{Index: to.replica.View().Index}); err != nil {
 		t.Fatal(err)
 	}
 	return time.Since(began)
--- a/spread/follow.go
+++ b/spread/follow.go
@@ -19,11 +19,11 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("spread")
 
-func (s *Spreader) followLoop(ctx context.Context) {
+func (s *Distributor) followLoop(ctx context.Context) {
 	var c chooser
 	for ctx.Err() == nil {
 		if s.opts.Replica.Status().Role == consensus.Leader {
-			s.Age() // notes the lease
+			s.StateAge() // notes the lease
 			wait.For(ctx, hold)
 			continue
 		}
@@ -47,7 +47,7 @@
 }
 
 // noteParent writes a line where news is lost or regained.
-func (s *Spreader) noteParent(parent string, err error) {
+func (s *Distributor) noteParent(parent string, err error) {
 	lost := !s.lostAt.IsZero()
 	if lost == (err != nil) {
 		return
@@ -62,14 +62,14 @@
 	s.lostAt = time.Time{}
 }
 
-func (s *Spreader) setParent(box string) {
+func (s *Distributor) setParent(box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.parent = box
 }
 
 // parents lists the boxes to ask, the tree's parent first (2).
-func (s *Spreader) parents() []string {
+func (s *Distributor) parents() []string {
 	list := s.sources()
 	for _, m := range hallMates(s.opts.Replica.View(), s.opts.Self.Hall) {
 		list = s.appendOther(list, m)
@@ -79,7 +79,7 @@
 
 // sources lists the boxes of which each is likely to have news whatever has failed: their
 // count does not grow with that of all boxes.
-func (s *Spreader) sources() []string {
+func (s *Distributor) sources() []string {
 	view := s.opts.Replica.View()
 	list := s.appendOther(nil, treeParent(view, s.opts.Self))
 	list = s.appendOther(list, wire.BoxOf(s.Leader()))
@@ -89,8 +89,8 @@
 	for _, seed := range s.opts.Seeds {
 		list = s.appendOther(list, seed)
 	}
-	if s.opts.Callers != nil {
-		for _, box := range s.opts.Callers() {
+	if s.opts.RecentCallers != nil {
+		for _, box := range s.opts.RecentCallers() {
 			list = s.appendOther(list, box)
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // appendOther adds a box that is not this one and not listed yet.
-func (s *Spreader) appendOther(list []string, box string) []string {
+func (s *Distributor) appendOther(list []string, box string) []string {
 	if box == "" || box == s.opts.Self.Box || slices.Contains(list, box) {
 		return list
 	}
@@ -154,7 +154,7 @@
 }
 
 // ask puts one question to a parent and takes over its news.
-func (s *Spreader) ask(ctx context.Context, parent string) error {
+func (s *Distributor) ask(ctx context.Context, parent string) error {
 	ctx, cancel := context.WithTimeout(ctx, askMost)
 	defer cancel()
 	sent := s.opts.Replica.Now()
@@ -163,7 +163,7 @@
 	question := &wire.Follow{
 		Member: s.opts.Replica.ID(), Index: view.Index, Demand: s.dueDemand(), Sets: subtree.sets, Subtree: subtree.rows,
 	}
-	response, err := s.opts.Caller.Fetch(ctx, parent, &wire.Request{Kind: &wire.Request_Follow{Follow: question}}, askTimeout)
+	response, err := s.opts.Client.Fetch(ctx, parent, &wire.Request{Kind: &wire.Request_Follow{Follow: question}}, askTimeout)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -182,7 +182,7 @@
 }
 
 // noteNews is rule 3. Without fresh news the parent counts as failed.
-func (s *Spreader) noteNews(parent string, sent time.Duration, u *wire.FollowUpdate) error {
+func (s *Distributor) noteNews(parent string, sent time.Duration, u *wire.FollowUpdate) error {
 	age := time.Duration(u.AgeMs) * time.Millisecond
 	at := sent + time.Duration(u.HeldMs)*time.Millisecond - age
 	complete := s.opts.Replica.View().Index >= u.Index
@@ -206,14 +206,14 @@
 }
 
 // subtree is rule 4 on the side of the asker.
-func (s *Spreader) subtree(view *state.State) report {
+func (s *Distributor) subtree(view *state.State) report {
 	own := s.opts.Replica.ID()
 	others := slices.DeleteFunc(s.Holdings(), func(h *wire.Holding) bool { return h.Member == own })
 	return pack(others, view)
 }
 
 // dueSubtree returns the subtree when it is time to repeat it.
-func (s *Spreader) dueSubtree(view *state.State) report {
+func (s *Distributor) dueSubtree(view *state.State) report {
 	if !s.due(&s.reportAt, reportEvery) {
 		return report{}
 	}
@@ -222,7 +222,7 @@
 
 // due reports whether it is time to send again what was last sent at the time
 // that last holds, and notes that it is sent now.
-func (s *Spreader) due(last *time.Duration, every time.Duration) bool {
+func (s *Distributor) due(last *time.Duration, every time.Duration) bool {
 	now := s.opts.Replica.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +237,7 @@
 const reportPause = 3 * time.Millisecond
 
 // reportLoop passes on at once that boxes of the subtree have advanced (4).
-func (s *Spreader) reportLoop(ctx context.Context) {
+func (s *Distributor) reportLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -254,20 +254,20 @@
 	}
 }
 
-func (s *Spreader) report(ctx context.Context, parent string) {
+func (s *Distributor) report(ctx context.Context, parent string) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	view := s.opts.Replica.View()
 	subtree := s.subtree(view)
 	f := &wire.Follow{Member: s.opts.Replica.ID(), Index: view.Index, Urgent: true, Sets: subtree.sets, Subtree: subtree.rows}
 	// A report that is lost is made good by the next question.
-	_, _ = s.opts.Caller.Call(ctx, parent, &wire.Request{Kind: &wire.Request_Follow{Follow: f}})
+	_, _ = s.opts.Client.Call(ctx, parent, &wire.Request{Kind: &wire.Request_Follow{Follow: f}})
 }
 
 // probeLoop looks at all boxes while there is no fresh news (5).
-func (s *Spreader) probeLoop(ctx context.Context) {
+func (s *Distributor) probeLoop(ctx context.Context) {
 	for looks := 0; ctx.Err() == nil; looks++ {
-		if age, fresh := s.Age(); !fresh || age > s.opts.ConfigLease/2 {
+		if age, fresh := s.StateAge(); !fresh || age > s.opts.ConfigLease/2 {
 			s.probeAll(ctx)
 			s.learnAgreed()
 		}
@@ -275,7 +275,7 @@
 	}
 }
 
-func (s *Spreader) probeAll(ctx context.Context) {
+func (s *Distributor) probeAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.probeTimeout())
 	defer cancel()
 	done := make(chan struct{})
@@ -292,10 +292,10 @@
 	}
 }
 
-func (s *Spreader) probe(ctx context.Context, box string) {
+func (s *Distributor) probe(ctx context.Context, box string) {
 	sent := s.opts.Replica.Now()
 	request := &wire.Request{Kind: &wire.Request_Probe{Probe: &wire.Probe{Member: s.opts.Replica.ID()}}}
-	response, err := s.opts.Caller.Call(ctx, box, request)
+	response, err := s.opts.Client.Call(ctx, box, request)
 	if err != nil || response.GetProbe() == nil {
 		return
 	}
@@ -323,7 +323,7 @@
 // learnLoop asks boxes that probes found ahead, one at a time and for as long as the answer
 // is coming: 40 boxes that started asked for a state of 750 KB six times each, from all that
 // had it at once (TestManyBoxesThatStartHaveALargeStateSoon).
-func (s *Spreader) learnLoop(ctx context.Context) {
+func (s *Distributor) learnLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/spread/inforce.go
+++ b/spread/inforce.go
@@ -22,13 +22,13 @@
 // hold, and two boxes above it repeat theirs every reportEvery, rounded up by ageStep.
 const heardLately = hold + 2*(reportEvery+ageStep)
 
-// Patience is how long an acknowledgement waits.
-type Patience struct {
-	// All is the time for all boxes that were heard (1), from the call on.
-	All time.Duration
-	// Most is the time for a majority (3), since the file was agreed as far as this leader
+// AckTimeouts is how long an acknowledgement waits.
+type AckTimeouts struct {
+	// AllBoxes is the time for all boxes that were heard (1), from the call on.
+	AllBoxes time.Duration
+	// Majority is the time for a majority (3), since the file was agreed as far as this leader
 	// knows.
-	Most time.Duration
+	Majority time.Duration
 }
 
 // agreedFile is the newest file that was waited for.
@@ -43,9 +43,9 @@
 	lacking     int // heard lately and without it
 }
 
-// AwaitInForce waits until an agreed file may be acknowledged or the context ends, and returns
+// AwaitApplied waits until an agreed file may be acknowledged or the context ends, and returns
 // how many boxes have it, of how many.
-func (s *Spreader) AwaitInForce(ctx context.Context, index uint64, p Patience) (have, boxes int) {
+func (s *Distributor) AwaitApplied(ctx context.Context, index uint64, p AckTimeouts) (have, boxes int) {
 	const look = 5 * time.Millisecond
 	ticker := time.NewTicker(look)
 	defer ticker.Stop()
@@ -64,13 +64,13 @@
 }
 
 // suffices is rules 1 to 3.
-func (c coverage) suffices(waited, agreed time.Duration, p Patience) bool {
+func (c coverage) suffices(waited, agreed time.Duration, p AckTimeouts) bool {
 	majority := c.have > c.boxes/2
-	return majority && c.lacking == 0 || majority && waited >= p.All || agreed >= p.Most
+	return majority && c.lacking == 0 || majority && waited >= p.AllBoxes || agreed >= p.Majority
 }
 
 // agreedAt returns since when this leader knows that a file is agreed.
-func (s *Spreader) agreedAt(index uint64) time.Time {
+func (s *Distributor) agreedAt(index uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if index > s.agreed.index {
@@ -81,7 +81,7 @@
 
 // coverage counts the listed boxes that have an index in force, and those that lack it though
 // they were heard within a time. For index 0 those that were heard have it, and no others.
-func (s *Spreader) coverage(index uint64, lately time.Duration) coverage {
+func (s *Distributor) coverage(index uint64, lately time.Duration) coverage {
 	view, own, now := s.opts.Replica.View(), s.opts.Replica.ID(), s.opts.Replica.Now()
 	var c coverage
 	s.mu.Lock()
--- a/spread/inforce_test.go
+++ b/spread/inforce_test.go
@@ -11,7 +11,7 @@
 	"leverdrum/spread"
 )
 
-var patience = spread.Patience{All: 600 * time.Millisecond, Most: 2 * time.Second}
+var patience = spread.AckTimeouts{AllBoxes: 600 * time.Millisecond, Majority: 2 * time.Second}
 
 // settled returns a fleet of 32 boxes that all have news. It ends with the test.
 func settled(t *testing.T) (*fleet, context.Context) {
@@ -27,7 +27,7 @@
 func (f *fleet) confirmed(t *testing.T, ctx context.Context, number uint64) (have, boxes int, took time.Duration) {
 	began := time.Now()
 	index := f.apply(t, ctx, routesFile(number, 1, 1))
-	have, boxes = f.boxes["a1"].spread.AwaitInForce(ctx, index, patience)
+	have, boxes = f.boxes["a1"].spread.AwaitApplied(ctx, index, patience)
 	return have, boxes, time.Since(began)
 }
 
@@ -39,17 +39,17 @@
 
 		have, boxes, took := f.confirmed(t, ctx, 1)
 		g.Expect(have).To(Equal(boxes))
-		g.Expect(took).To(BeNumerically("<", patience.All))
+		g.Expect(took).To(BeNumerically("<", patience.AllBoxes))
 
 		f.network(func(from, to string) bool { return from != "b9" && to != "b9" })
 		have, boxes, took = f.confirmed(t, ctx, 2)
 		g.Expect(have).To(Equal(boxes - 1))
-		g.Expect(took).To(BeNumerically("~", patience.All, 20*time.Millisecond), "it was heard lately")
+		g.Expect(took).To(BeNumerically("~", patience.AllBoxes, 20*time.Millisecond), "it was heard lately")
 
 		time.Sleep(4 * time.Second)
 		have, boxes, took = f.confirmed(t, ctx, 3)
 		g.Expect(have).To(Equal(boxes - 1))
-		g.Expect(took).To(BeNumerically("<", patience.All), "it is not heard any more")
+		g.Expect(took).To(BeNumerically("<", patience.AllBoxes), "it is not heard any more")
 	})
 }
 
@@ -63,10 +63,10 @@
 		began := time.Now()
 		for range 4 {
 			sending, end := context.WithTimeout(ctx, 900*time.Millisecond)
-			have, boxes := f.boxes["a1"].spread.AwaitInForce(sending, index, patience)
+			have, boxes := f.boxes["a1"].spread.AwaitApplied(sending, index, patience)
 			g.Expect(have).To(BeNumerically("<=", boxes/2))
 			end()
 		}
-		g.Expect(time.Since(began)).To(BeNumerically("~", patience.Most, 20*time.Millisecond))
+		g.Expect(time.Since(began)).To(BeNumerically("~", patience.Majority, 20*time.Millisecond))
 	})
 }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -76,8 +76,8 @@
 	forgetHolding = 30 * time.Second
 )
 
-// Caller asks other boxes.
-type Caller interface {
+// PeerClient asks other boxes.
+type PeerClient interface {
 	Call(ctx context.Context, box string, r *wire.Request) (*wire.Response, error)
 	// Fetch is Call for an answer that may be long: it is given up when nothing has come
 	// for the time quiet.
@@ -87,20 +87,20 @@
 // Options make a Spreader.
 type Options struct {
 	Replica *replica.Replica
-	Caller  Caller
+	Client  PeerClient
 	Self    *wire.Member
 	// Seeds are the names of boxes known from the settings.
 	Seeds []string
-	// Callers returns boxes that called this one lately and may know the cluster; nil for none.
-	Callers     func() []string
-	ConfigLease time.Duration
+	// RecentCallers returns boxes that called this one lately and may know the cluster; nil for none.
+	RecentCallers func() []string
+	ConfigLease   time.Duration
 	// Demand returns what this box was asked for lately.
 	Demand func() []*wire.Demand
 	Log    *zap.Logger
 }
 
-// Spreader is one box's part in the tree.
-type Spreader struct {
+// Distributor is one box's part in the tree.
+type Distributor struct {
 	opts Options
 
 	mu       sync.Mutex
@@ -149,12 +149,12 @@
 }
 
 // New returns a Spreader; Run makes it work.
-func New(opts Options) *Spreader {
-	return &Spreader{opts: opts, holdings: map[string]holding{}, probes: map[string]probe{}, advanced: make(chan struct{}, 1), ahead: make(chan newer), fresher: make(chan struct{}), demand: map[string]demandOf{}, started: time.Now()}
+func New(opts Options) *Distributor {
+	return &Distributor{opts: opts, holdings: map[string]holding{}, probes: map[string]probe{}, advanced: make(chan struct{}, 1), ahead: make(chan newer), fresher: make(chan struct{}), demand: map[string]demandOf{}, started: time.Now()}
 }
 
 // Run asks parents and, without news, all boxes, until the context ends.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Distributor) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.followLoop(ctx) })
 	wg.Go(func() { s.probeLoop(ctx) })
@@ -164,7 +164,7 @@
 }
 
 // Leader returns the member that leads, as far as this box knows.
-func (s *Spreader) Leader() string {
+func (s *Distributor) Leader() string {
 	if l := s.opts.Replica.Status().Leader; l != "" {
 		return l
 	}
@@ -173,9 +173,9 @@
 	return s.leader
 }
 
-// Age returns how long ago a leader was certain to lead when it sent what this
+// StateAge returns how long ago a leader was certain to lead when it sent what this
 // box has; false when the box has heard of none that led since its process began.
-func (s *Spreader) Age() (time.Duration, bool) {
+func (s *Distributor) StateAge() (time.Duration, bool) {
 	age, held := s.opts.Replica.Lease()
 	now := s.opts.Replica.Now()
 	s.mu.Lock()
@@ -187,7 +187,7 @@
 }
 
 // Current is rule 5.
-func (s *Spreader) Current() bool {
+func (s *Distributor) Current() bool {
 	e := s.evidence()
 	if old := evidence(s.shown.Swap(int32(e))); old != e {
 		s.logEvidence(old, e)
@@ -196,7 +196,7 @@
 }
 
 // majorityAgrees is rule 5.1.
-func (s *Spreader) majorityAgrees() bool {
+func (s *Distributor) majorityAgrees() bool {
 	view := s.opts.Replica.View()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,8 +224,8 @@
 	return witnesses > len(view.Members)/2
 }
 
-// Answer answers a child (1, 3).
-func (s *Spreader) Answer(ctx context.Context, from *wire.Member, f *wire.Follow) (*wire.FollowUpdate, error) {
+// AnswerFollow answers a child (1, 3).
+func (s *Distributor) AnswerFollow(ctx context.Context, from *wire.Member, f *wire.Follow) (*wire.FollowUpdate, error) {
 	s.noteHoldings(state.MemberID(from), f)
 	s.noteDemand(state.MemberID(from), f)
 	if f.Urgent {
@@ -242,7 +242,7 @@
 		Leader: s.Leader(), Path: append(s.currentPath(), s.opts.Self.Box),
 		HeldMs: uint32(time.Since(began).Milliseconds()),
 	}
-	if age, fresh := s.Age(); fresh {
+	if age, fresh := s.StateAge(); fresh {
 		u.Fresh, u.AgeMs = true, uint32(age.Milliseconds())
 	}
 	return u, nil
@@ -251,15 +251,15 @@
 // newsFor answers at once where waiting brings nothing: the news of this box has become
 // old, or came by way of the asker. A box that never had any waits, too: it has just
 // started, and whoever asks it then hears of the first leader with it.
-func (s *Spreader) newsFor(ctx context.Context, from *wire.Member, index uint64, path []string) ([]*wire.Entry, []byte, error) {
-	age, fresh := s.Age()
+func (s *Distributor) newsFor(ctx context.Context, from *wire.Member, index uint64, path []string) ([]*wire.Entry, []byte, error) {
+	age, fresh := s.StateAge()
 	if fresh && stale(age, len(path)) || slices.Contains(path, from.GetBox()) {
 		return s.opts.Replica.UpdatesSince(index)
 	}
 	return s.awaitNews(ctx, index)
 }
 
-func (s *Spreader) awaitNews(ctx context.Context, index uint64) ([]*wire.Entry, []byte, error) {
+func (s *Distributor) awaitNews(ctx context.Context, index uint64) ([]*wire.Entry, []byte, error) {
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	s.mu.Lock()
@@ -285,7 +285,7 @@
 
 // gather waits while news comes thick: a thousand boxes that take each of a thousand announcements by itself exchange a
 // million messages. A fleet file does not wait for what comes behind it.
-func (s *Spreader) gather(ctx context.Context) {
+func (s *Distributor) gather(ctx context.Context) {
 	for range gathersMost {
 		before := s.opts.Replica.View()
 		wait.For(ctx, gatherFor(len(before.Members)))
@@ -300,7 +300,7 @@
 	return min(gatherMost, gather+time.Duration(boxes)*gatherBox)
 }
 
-func (s *Spreader) currentPath() []string {
+func (s *Distributor) currentPath() []string {
 	if s.opts.Replica.Status().Role == consensus.Leader {
 		return nil
 	}
@@ -310,7 +310,7 @@
 }
 
 // noteHoldings is rule 4 on the side of the parent.
-func (s *Spreader) noteHoldings(asker string, f *wire.Follow) {
+func (s *Distributor) noteHoldings(asker string, f *wire.Follow) {
 	now := s.opts.Replica.Now()
 	view := s.opts.Replica.View()
 	rows := unpack(report{f.Sets, f.Subtree}, f.Index, view)
@@ -338,7 +338,7 @@
 
 // noteAdvance has the parent told at once that a box has come to hold the newest file
 // (4). All else that is agreed changes too often for that.
-func (s *Spreader) noteAdvance(from, to, file uint64) {
+func (s *Distributor) noteAdvance(from, to, file uint64) {
 	if from >= file || to < file {
 		return
 	}
@@ -350,7 +350,7 @@
 
 // Holdings returns what each box that asks through this one has in force, this
 // box included.
-func (s *Spreader) Holdings() []*wire.Holding {
+func (s *Distributor) Holdings() []*wire.Holding {
 	list := []*wire.Holding{{Member: s.opts.Replica.ID(), Index: s.opts.Replica.View().Index}}
 	now := s.opts.Replica.Now()
 	s.mu.Lock()
@@ -362,16 +362,16 @@
 	return list
 }
 
-// HearsMajority reports whether a majority of the listed boxes was heard lately,
+// SeesMajority reports whether a majority of the listed boxes was heard lately,
 // this box included.
-func (s *Spreader) HearsMajority() bool {
+func (s *Distributor) SeesMajority() bool {
 	c := s.coverage(0, s.opts.ConfigLease)
 	return c.have > c.boxes/2
 }
 
 // AnswerProbe tells another box where this one stands (5).
-func (s *Spreader) AnswerProbe() *wire.ProbeAnswer {
-	age, fresh := s.Age() // before the index: what a leader vouched for is applied first
+func (s *Distributor) AnswerProbe() *wire.ProbeAnswer {
+	age, fresh := s.StateAge() // before the index: what a leader vouched for is applied first
 	a := &wire.ProbeAnswer{
 		Member: s.opts.Replica.ID(), Index: s.opts.Replica.View().Index, Witness: fresh,
 		Leader: s.opts.Replica.Status().Role == consensus.Leader, LeaderMember: s.Leader(), Current: s.Current(),
--- a/spread/start.go
+++ b/spread/start.go
@@ -48,7 +48,7 @@
 )
 
 // votersAgree is rule 1.
-func (s *Spreader) votersAgree() bool {
+func (s *Distributor) votersAgree() bool {
 	view := s.opts.Replica.View()
 	words := s.words()
 	return view.Fleet != nil && agree(words, view.Version.GetIndex())
@@ -56,7 +56,7 @@
 
 // words returns what voters said lately, this box included where it is one; none once the
 // box has heard of a leader (4).
-func (s *Spreader) words() []word {
+func (s *Distributor) words() []word {
 	status := s.opts.Replica.Status()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 }
 
 // learnAgreed is rule 2.
-func (s *Spreader) learnAgreed() {
+func (s *Distributor) learnAgreed() {
 	term := s.opts.Replica.Status().Term
 	if index, ok := consensus.CommittedIndex(bare(s.words()), term); ok {
 		s.opts.Replica.MarkCommitted(index, term)
@@ -104,13 +104,13 @@
 }
 
 // isStarting reports whether the box has just started and no leader was heard of.
-func (s *Spreader) isStarting() bool {
-	_, fresh := s.Age()
+func (s *Distributor) isStarting() bool {
+	_, fresh := s.StateAge()
 	return !fresh && time.Since(s.started) < starting
 }
 
 // probePause is the time to the next look at others, after so many.
-func (s *Spreader) probePause(looks int) time.Duration {
+func (s *Distributor) probePause(looks int) time.Duration {
 	boxes := time.Duration(len(s.opts.Replica.View().Members))
 	switch {
 	case !s.isStarting():
@@ -121,7 +121,7 @@
 	return min(probeEvery, startProbe+startProbeStep*time.Duration(looks))
 }
 
-func (s *Spreader) probeTimeout() time.Duration {
+func (s *Distributor) probeTimeout() time.Duration {
 	if s.isStarting() {
 		return startProbeTimeout
 	}
@@ -132,7 +132,7 @@
 // of a leader, and those that may vote: their words are what counts (1), and 300 boxes that
 // start at once have other work than to open connections to each other. Later they are
 // all, since a majority of them counts (rule 5 of the package).
-func (s *Spreader) probed() []string {
+func (s *Distributor) probed() []string {
 	view := s.opts.Replica.View()
 	starting := s.isStarting()
 	var list []string
