--- a/admin/rows.go
+++ b/admin/rows.go
@@ -94,7 +94,7 @@
 		if !s.Held {
 			continue
 		}
-		p, _ := crasher.ParsePrint(s.Print) // the agreed table takes no others
+		p, _ := crasher.ParseFingerprint(s.Print) // the agreed table takes no others
 		rows = append(rows, HeldRow{Print: p.String(), Version: s.Version, Servers: s.Servers, Holds: s.Holds, Since: time.UnixMilli(s.UnixMs).UTC()})
 	}
 	return rows
--- a/admit/admit.go
+++ b/admit/admit.go
@@ -31,31 +31,31 @@
 // weightOfNew is the share of a new answer's time in the mean of a target.
 const weightOfNew = 0.1
 
-// Ticket is one request that wants to start.
-type Ticket struct {
+// Request is one request that wants to start.
+type Request struct {
 	Target *route.Target
 	Caller string
 	// Urgency goes before the priority of the class, 0 the highest.
 	Urgency  int
 	Deadline time.Time
-	// FirstBy is when the first event of a stream is due; zero for none.
-	FirstBy time.Time
-	route.Wish
+	// FirstEventDeadline is when the first event of a stream is due; zero for none.
+	FirstEventDeadline time.Time
+	route.Criteria
 
 	since   time.Time
 	began   time.Time
 	started chan *route.Backend
 }
 
-// Began returns when the ticket's newest start was.
-func (t *Ticket) Began() time.Time { return t.began }
+// StartedAt returns when the ticket's newest start was.
+func (t *Request) StartedAt() time.Time { return t.began }
 
-// Gate admits the requests of one box.
-type Gate struct {
+// Controller admits the requests of one box.
+type Controller struct {
 	directory *route.Directory
 
 	mu      sync.Mutex
-	waiting []*Ticket
+	waiting []*Request
 	callers map[string]int       // in flight
 	queued  map[string]int       // waiting, by caller
 	took    map[string]*estimate // by target
@@ -79,14 +79,14 @@
 	e.deviation += time.Duration(weightOfNew * float64(off.Abs()-e.deviation))
 }
 
-// NewGate returns a gate before the backends of a directory.
-func NewGate(d *route.Directory) *Gate {
-	return &Gate{directory: d, callers: map[string]int{}, queued: map[string]int{}, took: map[string]*estimate{}, first: map[string]*estimate{}}
+// NewController returns a gate before the backends of a directory.
+func NewController(d *route.Directory) *Controller {
+	return &Controller{directory: d, callers: map[string]int{}, queued: map[string]int{}, took: map[string]*estimate{}, first: map[string]*estimate{}}
 }
 
-// Enter waits until the ticket may start and returns its backend, counted in,
+// Acquire waits until the ticket may start and returns its backend, counted in,
 // or the reason why it is refused.
-func (g *Gate) Enter(ctx context.Context, t *Ticket) (*route.Backend, *reason.Reason) {
+func (g *Controller) Acquire(ctx context.Context, t *Request) (*route.Backend, *reason.Reason) {
 	now := time.Now()
 	g.mu.Lock()
 	b, why := g.offer(now, t)
@@ -98,8 +98,8 @@
 }
 
 // offer starts the ticket, queues it, or refuses it.
-func (g *Gate) offer(now time.Time, t *Ticket) (*route.Backend, *reason.Reason) {
-	b, busy := g.directory.Choose(t.Target, now, t.Wish)
+func (g *Controller) offer(now time.Time, t *Request) (*route.Backend, *reason.Reason) {
+	b, busy := g.directory.Choose(t.Target, now, t.Criteria)
 	if b != nil && !g.goesBefore(b, t) { // (1)
 		g.start(b, t)
 		return b, nil
@@ -123,12 +123,12 @@
 }
 
 // latest returns when the ticket must start at the latest (3).
-func (g *Gate) latest(t *Ticket) time.Time {
+func (g *Controller) latest(t *Request) time.Time {
 	latest := t.Deadline.Add(-g.took[t.Target.Name].likely())
-	if t.FirstBy.IsZero() {
+	if t.FirstEventDeadline.IsZero() {
 		return latest
 	}
-	if first := t.FirstBy.Add(-g.first[t.Target.Name].likely()); first.Before(latest) {
+	if first := t.FirstEventDeadline.Add(-g.first[t.Target.Name].likely()); first.Before(latest) {
 		return first
 	}
 	return latest
@@ -136,7 +136,7 @@
 
 // goesBefore reports whether somebody waits who could use the backend's room
 // and goes before the ticket.
-func (g *Gate) goesBefore(b *route.Backend, t *Ticket) bool {
+func (g *Controller) goesBefore(b *route.Backend, t *Request) bool {
 	for _, w := range g.waiting {
 		if w.mayUse(b) && !g.less(t, w) {
 			return true
@@ -145,7 +145,7 @@
 	return false
 }
 
-func (t *Ticket) mayUse(b *route.Backend) bool {
+func (t *Request) mayUse(b *route.Backend) bool {
 	for _, x := range t.Target.Backends {
 		if x == b {
 			return true
@@ -155,12 +155,12 @@
 }
 
 // compareUrgency is below zero where a is the more urgent: by its workspace, then by its class.
-func compareUrgency(a, b *Ticket) int {
+func compareUrgency(a, b *Request) int {
 	return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(b.Target.Class.Priority, a.Target.Class.Priority))
 }
 
 // less is rule 2: whether a goes before b.
-func (g *Gate) less(a, b *Ticket) bool {
+func (g *Controller) less(a, b *Request) bool {
 	if c := compareUrgency(a, b); c != 0 {
 		return c < 0
 	}
@@ -172,7 +172,7 @@
 
 // expectedWait is the work of those who go before, spread over the places that
 // the ticket could get.
-func (g *Gate) expectedWait(t *Ticket) time.Duration {
+func (g *Controller) expectedWait(t *Request) time.Duration {
 	places := 0.0
 	for _, b := range t.Target.Backends {
 		places += b.Limit()
@@ -189,7 +189,7 @@
 	return time.Duration(float64(work) / places)
 }
 
-func shares(a, b *Ticket) bool {
+func shares(a, b *Request) bool {
 	for _, x := range a.Target.Backends {
 		if b.mayUse(x) {
 			return true
@@ -198,7 +198,7 @@
 	return false
 }
 
-func (g *Gate) start(b *route.Backend, t *Ticket) {
+func (g *Controller) start(b *route.Backend, t *Request) {
 	b.Begin()
 	t.began = time.Now()
 	g.callers[t.Caller]++
@@ -206,7 +206,7 @@
 
 // wait waits for a place, at most until the ticket's own work would not fit
 // before its deadline any more (3).
-func (g *Gate) wait(ctx context.Context, t *Ticket) (*route.Backend, *reason.Reason) {
+func (g *Controller) wait(ctx context.Context, t *Request) (*route.Backend, *reason.Reason) {
 	g.mu.Lock()
 	latest := g.latest(t)
 	g.mu.Unlock()
@@ -229,7 +229,7 @@
 	return nil, reason.Overloaded
 }
 
-func (g *Gate) remove(t *Ticket) {
+func (g *Controller) remove(t *Request) {
 	for i, w := range g.waiting {
 		if w == t {
 			g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
@@ -241,9 +241,9 @@
 	}
 }
 
-// Leave counts a request out, and starts those who waited for its room.
+// Release counts a request out, and starts those who waited for its room.
 // Answered is the time of a whole answer, 0 when there was none.
-func (g *Gate) Leave(b *route.Backend, t *Ticket, answered time.Duration) {
+func (g *Controller) Release(b *route.Backend, t *Request, answered time.Duration) {
 	b.End()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -256,8 +256,8 @@
 	g.startWaiting(time.Now())
 }
 
-// First notes how long the first event of a stream took.
-func (g *Gate) First(t *Ticket, took time.Duration) {
+// RecordFirstEvent notes how long the first event of a stream took.
+func (g *Controller) RecordFirstEvent(t *Request, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	learn(g.first, t.Target.Name, took)
@@ -272,15 +272,15 @@
 }
 
 // startWaiting starts as many as there is room for, the first by rule 2 first.
-func (g *Gate) startWaiting(now time.Time) {
+func (g *Controller) startWaiting(now time.Time) {
 	for {
-		var best *Ticket
+		var best *Request
 		var place *route.Backend
 		for _, w := range g.waiting {
 			if best != nil && !g.less(w, best) {
 				continue
 			}
-			if b, _ := g.directory.Choose(w.Target, now, w.Wish); b != nil {
+			if b, _ := g.directory.Choose(w.Target, now, w.Criteria); b != nil {
 				best, place = w, b
 			}
 		}
@@ -293,15 +293,15 @@
 	}
 }
 
-// Kick starts those who can start after the backends changed.
-func (g *Gate) Kick() {
+// Dispatch starts those who can start after the backends changed.
+func (g *Controller) Dispatch() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.startWaiting(time.Now())
 }
 
 // Waiting returns how many requests wait.
-func (g *Gate) Waiting() int {
+func (g *Controller) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.waiting)
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -19,7 +19,7 @@
 
 // newGate returns a gate before one server with room for two, which holds a
 // model of a common and one of an urgent class.
-func newGate(t *testing.T) (*admit.Gate, *route.Table) {
+func newGate(t *testing.T) (*admit.Controller, *route.Table) {
 	st, err := standin.Agreed(`
 [fleet]
 number = 1
@@ -53,30 +53,30 @@
 	}
 	d := route.NewDirectory("a")
 	d.Update(st)
-	return admit.NewGate(d), d.Table()
+	return admit.NewController(d), d.Table()
 }
 
 // noting guards what the tests note of several requests.
 var noting sync.Mutex
 
 // run enters, reports whether it may start and after what wait, and works.
-func run(g *admit.Gate, target *route.Target, caller string, work time.Duration, entered func(why *reason.Reason, waited time.Duration)) {
+func run(g *admit.Controller, target *route.Target, caller string, work time.Duration, entered func(why *reason.Reason, waited time.Duration)) {
 	began := time.Now()
-	t := &admit.Ticket{Target: target, Caller: caller, Deadline: began.Add(target.Class.Deadline)}
-	b, why := g.Enter(context.Background(), t)
+	t := &admit.Request{Target: target, Caller: caller, Deadline: began.Add(target.Class.Deadline)}
+	b, why := g.Acquire(context.Background(), t)
 	noting.Lock()
 	entered(why, time.Since(began))
 	noting.Unlock()
 	if why == nil {
 		time.Sleep(work)
-		g.Leave(b, t, work)
+		g.Release(b, t, work)
 	}
 }
 
 const work = 200 * time.Millisecond
 
 // teach lets the gate see how long an answer takes.
-func teach(g *admit.Gate, table *route.Table) {
+func teach(g *admit.Controller, table *route.Table) {
 	run(g, table.Models["common"], "x", work, func(*reason.Reason, time.Duration) {})
 	run(g, table.Models["urgent"], "x", work, func(*reason.Reason, time.Duration) {})
 }
@@ -188,7 +188,7 @@
 			synctest.Wait()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		go gate.Enter(ctx, &admit.Ticket{Target: target, Caller: "gone", Deadline: time.Now().Add(time.Second)})
+		go gate.Acquire(ctx, &admit.Request{Target: target, Caller: "gone", Deadline: time.Now().Add(time.Second)})
 		synctest.Wait()
 		g := NewWithT(t)
 		g.Expect(gate.Waiting()).To(Equal(1))
@@ -206,16 +206,16 @@
 func TestLateFirstEventIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate, table := newGate(t)
-		enter := func(firstBy time.Duration) (*admit.Ticket, *route.Backend, *reason.Reason) {
+		enter := func(firstBy time.Duration) (*admit.Request, *route.Backend, *reason.Reason) {
 			now := time.Now()
-			k := &admit.Ticket{Target: table.Models["common"], Deadline: now.Add(time.Hour), FirstBy: now.Add(firstBy)}
-			b, why := gate.Enter(context.Background(), k)
+			k := &admit.Request{Target: table.Models["common"], Deadline: now.Add(time.Hour), FirstEventDeadline: now.Add(firstBy)}
+			b, why := gate.Acquire(context.Background(), k)
 			return k, b, why
 		}
 		k, b, _ := enter(time.Second)
 		time.Sleep(work)
-		gate.First(k, work)
-		gate.Leave(b, k, work)
+		gate.RecordFirstEvent(k, work)
+		gate.Release(b, k, work)
 		for range 2 { // both places are taken
 			_, _, why := enter(time.Second)
 			NewWithT(t).Expect(why).To(BeNil())
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -58,7 +58,7 @@
 	i := 0
 	choose := func() {
 		i++
-		if chosen, _ := d.Choose(t.Models[names[i%800]], now, route.Wish{Session: uint64(i)}); chosen == nil {
+		if chosen, _ := d.Choose(t.Models[names[i%800]], now, route.Criteria{Session: uint64(i)}); chosen == nil {
 			b.Fatal("no server")
 		}
 	}
--- a/box/answer.go
+++ b/box/answer.go
@@ -31,7 +31,7 @@
 		}
 		return &wire.Response{Kind: &wire.Response_Quota{Quota: q.answer(from.GetBox(), k.Quota)}}
 	}
-	return p.guard.Answer(r)
+	return p.guard.HandleRequest(r)
 }
 
 func (b *Box) answerForward(ctx context.Context, p *parts, f *wire.Forward) *wire.Response {
--- a/box/box.go
+++ b/box/box.go
@@ -95,7 +95,7 @@
 	entry     *entry.Entry
 	admin     *admin.Admin
 	control   *control.Controller
-	guard     *keyed.Guard
+	guard     *keyed.ClaimReplica
 	gateway   *gateway.Gateway
 	platform  http.Handler
 	notices   chan gateway.Notice
@@ -327,11 +327,11 @@
 	p.pushback = pushback.New(pushback.Options{
 		Now: clock.New().Now, Throttle: p.throttle, Boxes: func() int { return len(r.View().Members) }, OnDraining: p.drains.add, Log: b.log,
 	})
-	p.directory.Heed(p.pushback)
+	p.directory.SetPushback(p.pushback)
 	engines := engine.NewClient(allowed, p.pushback)
 	p.control = control.New(control.Options{
 		Replica: r, Spread: p.spread, Engines: engines.At,
-		TerminatedServers: p.directory.Gone, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
+		TerminatedServers: p.directory.TerminatedServers, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
 		Counting: platform.NewEngines(allowed, p.pushback), InBackoff: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettleTime: s.DemandSettles, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
 		Records: b.records, Meters: b.meters, Log: b.log,
 	})
--- a/box/crashes.go
+++ b/box/crashes.go
@@ -63,7 +63,7 @@
 	}
 	var strong, weak []string
 	for _, s := range r.Signs {
-		p, _ := crasher.ParsePrint(s.Print) // made by this box
+		p, _ := crasher.ParseFingerprint(s.Print) // made by this box
 		if s.Weak {
 			weak = append(weak, p.String())
 			continue
--- a/box/directory.go
+++ b/box/directory.go
@@ -43,7 +43,7 @@
 		b.meters.Gauge(meter.LevelInForce).Set(float64(view.Level))
 		b.meters.Gauge(meter.FleetNumber).Set(float64(view.Version.GetNumber()))
 		b.meters.Gauge(meter.LimitsInForce).Set(float64(len(view.Limits)))
-		b.meters.Gauge(meter.CrashersHeld).Set(float64(view.Crashers.Held()))
+		b.meters.Gauge(meter.CrashersHeld).Set(float64(view.Crashers.BlockedCount()))
 		wait.For(ctx, min(routesMost, routesShare*time.Since(began)))
 		select {
 		case <-changed:
@@ -100,7 +100,7 @@
 			gone[m.Name] = true
 		}
 	}
-	if p.directory.SetGone(gone) {
+	if p.directory.SetTerminatedServers(gone) {
 		p.directory.Update(p.replica.View())
 	}
 }
--- a/box/reports.go
+++ b/box/reports.go
@@ -64,8 +64,8 @@
 			if err != nil {
 				return // the last word stands
 			}
-			backend.Report(st.Running + st.Waiting)
-			backend.SetLeaving(st.Leaving)
+			backend.RecordReport(st.Running + st.Waiting)
+			backend.SetDraining(st.Leaving)
 		})
 	}
 	wg.Wait()
--- a/control/control.go
+++ b/control/control.go
@@ -143,12 +143,12 @@
 	watchedAt time.Time     // when orders were watched last
 	waited    time.Duration // for agreement, in the step under way
 
-	arrivals   arrivals               // orders that may still arrive at servers, see arrivals.go
-	lives      map[string]time.Time   // when this box first saw each life that began while an order was open
-	looked     bool                   // arrivals hold what earlier leaders may have sent
-	knownSince time.Time              // since when all listed boxes know the next level
-	loads      map[uint64]*openLoad   // by order, see loads.go
-	loaded     map[crasher.Print]bool // items that this leader saw loaded
+	arrivals   arrivals                     // orders that may still arrive at servers, see arrivals.go
+	lives      map[string]time.Time         // when this box first saw each life that began while an order was open
+	looked     bool                         // arrivals hold what earlier leaders may have sent
+	knownSince time.Time                    // since when all listed boxes know the next level
+	loads      map[uint64]*openLoad         // by order, see loads.go
+	loaded     map[crasher.Fingerprint]bool // items that this leader saw loaded
 	suspects   map[crasher.Key]watched
 	suspectsAt time.Time // when they were looked at last
 }
@@ -163,7 +163,7 @@
 	return &Controller{
 		opts: opts, reports: map[string]report{}, reading: map[string]bool{}, quarantine: map[string]time.Time{},
 		sending: map[uint64]bool{}, short: map[string]string{},
-		heard: map[string]*heard{}, lacking: map[string]time.Time{}, askedAt: map[string]time.Time{}, doubts: map[string]*doubt{}, limitedAt: map[string]time.Time{}, resting: map[string]map[string]time.Time{}, counts: map[string]uint64{}, wanted: map[string]time.Time{}, lives: map[string]time.Time{}, loads: map[uint64]*openLoad{}, loaded: map[crasher.Print]bool{}, kick: make(chan struct{}, 1),
+		heard: map[string]*heard{}, lacking: map[string]time.Time{}, askedAt: map[string]time.Time{}, doubts: map[string]*doubt{}, limitedAt: map[string]time.Time{}, resting: map[string]map[string]time.Time{}, counts: map[string]uint64{}, wanted: map[string]time.Time{}, lives: map[string]time.Time{}, loads: map[uint64]*openLoad{}, loaded: map[crasher.Fingerprint]bool{}, kick: make(chan struct{}, 1),
 	}
 }
 
@@ -273,7 +273,7 @@
 		c.lacking, c.askedAt = map[string]time.Time{}, map[string]time.Time{}
 		c.counts = map[string]uint64{}
 		c.wanted = map[string]time.Time{}
-		c.loaded = map[crasher.Print]bool{}
+		c.loaded = map[crasher.Fingerprint]bool{}
 		c.looked = false
 		c.mu.Unlock()
 		c.suspects, c.loads = nil, map[uint64]*openLoad{}
--- a/control/crashes.go
+++ b/control/crashes.go
@@ -52,12 +52,12 @@
 func news(r *wire.CrashReport, view *state.State) *wire.CrashReport {
 	out := &wire.CrashReport{Box: r.GetBox()}
 	for _, s := range r.GetSigns() {
-		if p, ok := crasher.ParsePrint(s.Print); ok && !view.Crashers.Holds(p, s.Version) {
+		if p, ok := crasher.ParseFingerprint(s.Print); ok && !view.Crashers.Blocks(p, s.Version) {
 			out.Signs = append(out.Signs, s)
 		}
 	}
 	for _, s := range r.GetServed() {
-		if p, ok := crasher.ParsePrint(s.Print); ok && view.Crashers.Suspected(p, s.Version) {
+		if p, ok := crasher.ParseFingerprint(s.Print); ok && view.Crashers.Suspected(p, s.Version) {
 			out.Served = append(out.Served, s)
 		}
 	}
@@ -68,8 +68,8 @@
 }
 
 func logSuspect(e *event.Event, log *zap.Logger, s *wire.Suspect) {
-	p, _ := crasher.ParsePrint(s.Print) // the agreed table takes no others
-	e.Log(log, zap.Stringer("print", p), zap.String("version", s.Version), zap.Strings("servers", s.Servers), zap.Uint32("holds", s.Holds), zap.Duration("for", crasher.Lasts(s)))
+	p, _ := crasher.ParseFingerprint(s.Print) // the agreed table takes no others
+	e.Log(log, zap.Stringer("print", p), zap.String("version", s.Version), zap.Strings("servers", s.Servers), zap.Uint32("holds", s.Holds), zap.Duration("for", crasher.TTL(s)))
 }
 
 // releaseSuspects has suspects let go whose time is over, as far as this leader has seen it pass.
@@ -100,7 +100,7 @@
 			w = watched{s.Index, now}
 		}
 		seen[key] = w
-		if now.Sub(w.since) >= crasher.Lasts(s) {
+		if now.Sub(w.since) >= crasher.TTL(s) {
 			due = append(due, &wire.Suspect{Print: s.Print, Version: s.Version, Index: s.Index})
 		}
 	}
--- a/control/loads.go
+++ b/control/loads.go
@@ -31,21 +31,21 @@
 }
 
 // printOfLoad stands for a load of an item, on whatever server.
-func printOfLoad(i *wire.Item) crasher.Print {
-	return crasher.Of(crasher.Content{Method: "load", Target: i.Model + "@" + i.Version, Model: i.Adapter})
+func printOfLoad(i *wire.Item) crasher.Fingerprint {
+	return crasher.FingerprintOf(crasher.Content{Method: "load", Target: i.Model + "@" + i.Version, Model: i.Adapter})
 }
 
 // heldLoad is rule 3.
 func heldLoad(view *state.State, o *wire.Order) bool {
-	return o.Action == wire.OrderAction_ORDER_LOAD && view.Crashers.AnyHeld() &&
-		view.Crashers.Holds(printOfLoad(o.Item), view.Announcements.Get(o.Server).GetVersion())
+	return o.Action == wire.OrderAction_ORDER_LOAD && view.Crashers.HasBlocked() &&
+		view.Crashers.Blocks(printOfLoad(o.Item), view.Announcements.Get(o.Server).GetVersion())
 }
 
 // watchLoads has loads told whose servers ended (1), and suspects that were loaded after all (2).
 func (c *Controller) watchLoads(ctx context.Context, view *state.State, now time.Time) {
 	r := c.loadSigns(view, now)
 	for key, s := range view.Crashers.Suspects {
-		if !s.Served && c.wasLoaded(key.Print) {
+		if !s.Served && c.wasLoaded(key.Fingerprint) {
 			r.Served = append(r.Served, &wire.ServedSuspect{Print: s.Print, Version: s.Version})
 		}
 	}
@@ -129,7 +129,7 @@
 	c.loaded[printOfLoad(o.Item)] = true
 }
 
-func (c *Controller) wasLoaded(p crasher.Print) bool {
+func (c *Controller) wasLoaded(p crasher.Fingerprint) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.loaded[p]
--- a/crasher/book.go
+++ b/crasher/book.go
@@ -40,32 +40,32 @@
 
 // Key names a suspect: the request and the version of the servers' software (6).
 type Key struct {
-	Print   Print
-	Version string
+	Fingerprint Fingerprint
+	Version     string
 }
 
-func keyOf(s *wire.Suspect) Key { return Key{Print(s.Print), s.Version} }
+func keyOf(s *wire.Suspect) Key { return Key{Fingerprint(s.Print), s.Version} }
 
-// Book is the agreed table of suspects. It changes only by Take and Release, which are the same on all
-// boxes. These replace the map, so that a copy of a Book stays as it is: the agreed state is copied far more
+// Registry is the agreed table of suspects. It changes only by Take and Release, which are the same on all
+// boxes. These replace the map, so that a copy of a Registry stays as it is: the agreed state is copied far more
 // often than it changes here.
-type Book struct {
+type Registry struct {
 	Suspects map[Key]*wire.Suspect
 	held     int
 	changed  uint64
 }
 
-// NewBook returns an empty table.
-func NewBook() Book { return Book{Suspects: map[Key]*wire.Suspect{}} }
+// NewRegistry returns an empty table.
+func NewRegistry() Registry { return Registry{Suspects: map[Key]*wire.Suspect{}} }
 
-// At says when a report is agreed.
-type At struct {
+// CommitPosition says when a report is agreed.
+type CommitPosition struct {
 	Index, Term uint64
 	UnixMs      int64
 }
 
-// Take takes a report over and returns who is held by it.
-func (b *Book) Take(r *wire.CrashReport, at At) (held []*wire.Suspect) {
+// Apply takes a report over and returns who is held by it.
+func (b *Registry) Apply(r *wire.CrashReport, at CommitPosition) (held []*wire.Suspect) {
 	b.Suspects, b.changed = maps.Clone(b.Suspects), at.Index
 	for _, s := range r.Served {
 		b.clear(s, at)
@@ -79,8 +79,8 @@
 }
 
 // clear is rule 5.
-func (b *Book) clear(served *wire.ServedSuspect, at At) {
-	p, ok := ParsePrint(served.Print)
+func (b *Registry) clear(served *wire.ServedSuspect, at CommitPosition) {
+	p, ok := ParseFingerprint(served.Print)
 	key := Key{p, served.Version}
 	if !ok || b.Suspects[key] == nil {
 		return
@@ -89,8 +89,8 @@
 }
 
 // count counts a sign, and returns the suspect if it changed.
-func (b *Book) count(box string, sign *wire.CrashSign, at At) *wire.Suspect {
-	p, ok := ParsePrint(sign.Print)
+func (b *Registry) count(box string, sign *wire.CrashSign, at CommitPosition) *wire.Suspect {
+	p, ok := ParseFingerprint(sign.Print)
 	if !ok {
 		return nil
 	}
@@ -141,9 +141,9 @@
 }
 
 // startOf is rule 6.
-func (b *Book) startOf(key Key) uint32 {
+func (b *Registry) startOf(key Key) uint32 {
 	for other, s := range b.Suspects {
-		if other.Print == key.Print && s.Holds > 0 {
+		if other.Fingerprint == key.Fingerprint && s.Holds > 0 {
 			return holdWeight - weakWeight
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // put replaces or, with nil, drops a suspect.
-func (b *Book) put(key Key, s *wire.Suspect) {
+func (b *Registry) put(key Key, s *wire.Suspect) {
 	if b.Suspects[key].GetHeld() {
 		b.held--
 	}
@@ -166,7 +166,7 @@
 }
 
 // makeRoom is rule 8.
-func (b *Book) makeRoom() {
+func (b *Registry) makeRoom() {
 	if b.held > heldMost {
 		b.put(b.least(func(s *wire.Suspect) bool { return s.Held }), nil)
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (b *Book) least(of func(*wire.Suspect) bool) (key Key) {
+func (b *Registry) least(of func(*wire.Suspect) bool) (key Key) {
 	var least *wire.Suspect
 	for k, s := range b.Suspects {
 		if of(s) && (least == nil || compare(s, least) < 0) {
@@ -191,10 +191,10 @@
 }
 
 // Release lets suspects go that are as they were when this was asked for (7), and returns those that were held.
-func (b *Book) Release(r *wire.ReleaseSuspects, at At) (released []*wire.Suspect) {
+func (b *Registry) Release(r *wire.ReleaseSuspects, at CommitPosition) (released []*wire.Suspect) {
 	b.Suspects, b.changed = maps.Clone(b.Suspects), at.Index
 	for _, s := range r.Suspects {
-		p, ok := ParsePrint(s.Print)
+		p, ok := ParseFingerprint(s.Print)
 		key := Key{p, s.Version}
 		old := b.Suspects[key]
 		if !ok || old == nil || old.Index != s.Index {
@@ -212,8 +212,8 @@
 	return released
 }
 
-// Lasts is how long a suspect stays as it is without a further sign (7).
-func Lasts(s *wire.Suspect) time.Duration {
+// TTL is how long a suspect stays as it is without a further sign (7).
+func TTL(s *wire.Suspect) time.Duration {
 	switch {
 	case s.Held:
 		return min(holdMost, holdFirst<<min(s.Holds-1, 16))
@@ -223,43 +223,45 @@
 	return suspectFor
 }
 
-// Changed returns the index of the entry that changed the table last, 0 where none has been seen.
-func (b *Book) Changed() uint64 { return b.changed }
+// LastChanged returns the index of the entry that changed the table last, 0 where none has been seen.
+func (b *Registry) LastChanged() uint64 { return b.changed }
 
-// AnyHeld reports whether some request is held: if not, no print need be made.
-func (b *Book) AnyHeld() bool { return b.held > 0 }
+// HasBlocked reports whether some request is held: if not, no print need be made.
+func (b *Registry) HasBlocked() bool { return b.held > 0 }
 
-// Held returns how many requests are held.
-func (b *Book) Held() int { return b.held }
+// BlockedCount returns how many requests are held.
+func (b *Registry) BlockedCount() int { return b.held }
 
-// Holds reports whether a request is kept from servers of a software version.
-func (b *Book) Holds(p Print, version string) bool { return b.Suspects[Key{p, version}].GetHeld() }
+// Blocks reports whether a request is kept from servers of a software version.
+func (b *Registry) Blocks(p Fingerprint, version string) bool {
+	return b.Suspects[Key{p, version}].GetHeld()
+}
 
-// OneSignShort reports whether one more strong sign holds a request, given its signs or, where they are more, as
+// NextReportBlocks reports whether one more strong sign holds a request, given its signs or, where they are more, as
 // many of which nothing is agreed yet.
-func (b *Book) OneSignShort(p Print, version string, untold int) bool {
+func (b *Registry) NextReportBlocks(p Fingerprint, version string, untold int) bool {
 	weight := max(b.Suspects[Key{p, version}].GetWeight(), uint32(max(0, untold))*strongWeight)
 	return weight+strongWeight >= holdWeight
 }
 
 // Suspected reports whether a request is suspected at servers of a software version, held or not.
-func (b *Book) Suspected(p Print, version string) bool {
+func (b *Registry) Suspected(p Fingerprint, version string) bool {
 	s := b.Suspects[Key{p, version}]
 	return s != nil && !s.Served
 }
 
 // Encode returns the suspects in a fixed order.
-func (b *Book) Encode() []*wire.Suspect {
+func (b *Registry) Encode() []*wire.Suspect {
 	return slices.SortedFunc(maps.Values(b.Suspects), func(x, y *wire.Suspect) int {
 		return cmp.Or(slices.Compare(x.Print, y.Print), cmp.Compare(x.Version, y.Version))
 	})
 }
 
 // Decode returns the table that a snapshot holds.
-func Decode(list []*wire.Suspect) Book {
-	b := NewBook()
+func Decode(list []*wire.Suspect) Registry {
+	b := NewRegistry()
 	for _, s := range list {
-		if _, ok := ParsePrint(s.Print); ok {
+		if _, ok := ParseFingerprint(s.Print); ok {
 			b.put(keyOf(s), s)
 		}
 	}
--- a/crasher/book_test.go
+++ b/crasher/book_test.go
@@ -17,7 +17,9 @@
 	m.Run()
 }
 
-func printOf(n int) crasher.Print { return crasher.Of(crasher.Content{Target: fmt.Sprint(n)}) }
+func printOf(n int) crasher.Fingerprint {
+	return crasher.FingerprintOf(crasher.Content{Target: fmt.Sprint(n)})
+}
 
 // sign is one of a request whose server ended at a time, sent shortly before.
 func sign(n int, server string, ended int64) *wire.CrashSign {
@@ -27,30 +29,30 @@
 
 // agreement takes reports over, each as an entry of its own.
 type agreement struct {
-	crasher.Book
+	crasher.Registry
 	index uint64
 	term  uint64
 }
 
-func newAgreement() *agreement { return &agreement{Book: crasher.NewBook(), term: 1} }
+func newAgreement() *agreement { return &agreement{Registry: crasher.NewRegistry(), term: 1} }
 
 func (a *agreement) take(signs ...*wire.CrashSign) {
 	a.index++
-	a.Take(&wire.CrashReport{Signs: signs}, crasher.At{Index: a.index, Term: a.term})
+	a.Apply(&wire.CrashReport{Signs: signs}, crasher.CommitPosition{Index: a.index, Term: a.term})
 }
 
 func (a *agreement) takeFrom(box string, signs ...*wire.CrashSign) {
 	a.index++
-	a.Take(&wire.CrashReport{Box: box, Signs: signs}, crasher.At{Index: a.index, Term: a.term})
+	a.Apply(&wire.CrashReport{Box: box, Signs: signs}, crasher.CommitPosition{Index: a.index, Term: a.term})
 }
 
 func (a *agreement) clear(n int) {
 	p := printOf(n)
 	a.index++
-	a.Take(&wire.CrashReport{Served: []*wire.ServedSuspect{{Print: p[:], Version: "v1"}}}, crasher.At{Index: a.index, Term: a.term})
+	a.Apply(&wire.CrashReport{Served: []*wire.ServedSuspect{{Print: p[:], Version: "v1"}}}, crasher.CommitPosition{Index: a.index, Term: a.term})
 }
 
-func (a *agreement) holds(n int) bool { return a.Holds(printOf(n), "v1") }
+func (a *agreement) holds(n int) bool { return a.Blocks(printOf(n), "v1") }
 
 func TestWhoIsHeld(t *testing.T) {
 	weak := func(s *wire.CrashSign) *wire.CrashSign { s.Weak = true; return s }
@@ -142,11 +144,11 @@
 	for i := range 3 {
 		a.take(sign(1, fmt.Sprint(i), int64(1000*i)))
 	}
-	g.Expect(a.Holds(printOf(1), "v2")).To(BeFalse())
+	g.Expect(a.Blocks(printOf(1), "v2")).To(BeFalse())
 	again := sign(1, "x", 9000)
 	again.Version = "v2"
 	a.take(again)
-	g.Expect(a.Holds(printOf(1), "v2")).To(BeTrue())
+	g.Expect(a.Blocks(printOf(1), "v2")).To(BeTrue())
 }
 
 // Who is let go is held again after one end, and for twice the time.
@@ -156,17 +158,17 @@
 	for i := range 3 {
 		a.take(sign(1, fmt.Sprint(i), int64(1000*i)))
 	}
-	key := crasher.Key{Print: printOf(1), Version: "v1"}
-	first := crasher.Lasts(a.Suspects[key])
-	stale := &wire.Suspect{Print: key.Print[:], Version: "v1", Index: a.index - 1}
-	a.Release(&wire.ReleaseSuspects{Suspects: []*wire.Suspect{stale}}, crasher.At{Index: 100, Term: 1})
+	key := crasher.Key{Fingerprint: printOf(1), Version: "v1"}
+	first := crasher.TTL(a.Suspects[key])
+	stale := &wire.Suspect{Print: key.Fingerprint[:], Version: "v1", Index: a.index - 1}
+	a.Release(&wire.ReleaseSuspects{Suspects: []*wire.Suspect{stale}}, crasher.CommitPosition{Index: 100, Term: 1})
 	g.Expect(a.holds(1)).To(BeTrue(), "it has changed since")
-	a.Release(&wire.ReleaseSuspects{Suspects: []*wire.Suspect{a.Suspects[key]}}, crasher.At{Index: 101, Term: 1})
+	a.Release(&wire.ReleaseSuspects{Suspects: []*wire.Suspect{a.Suspects[key]}}, crasher.CommitPosition{Index: 101, Term: 1})
 	g.Expect(a.holds(1)).To(BeFalse())
 	a.index = 101
 	a.take(sign(1, "x", 9000))
 	g.Expect(a.holds(1)).To(BeTrue())
-	g.Expect(crasher.Lasts(a.Suspects[key])).To(Equal(2 * first))
+	g.Expect(crasher.TTL(a.Suspects[key])).To(Equal(2 * first))
 }
 
 // A caller that changes a byte each time neither fills the table nor pushes out who is held or heavier.
@@ -196,8 +198,8 @@
 		a := newAgreement()
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			n := rapid.IntRange(0, 4).Draw(r, "request")
-			key := crasher.Key{Print: printOf(n), Version: "v1"}
-			before := a.Book
+			key := crasher.Key{Fingerprint: printOf(n), Version: "v1"}
+			before := a.Registry
 			was := len(before.Suspects)
 			switch rapid.IntRange(0, 6).Draw(r, "what") {
 			case 0:
@@ -206,7 +208,7 @@
 			case 1:
 				if s := a.Suspects[key]; s != nil {
 					a.index++
-					a.Release(&wire.ReleaseSuspects{Suspects: []*wire.Suspect{s}}, crasher.At{Index: a.index, Term: a.term})
+					a.Release(&wire.ReleaseSuspects{Suspects: []*wire.Suspect{s}}, crasher.CommitPosition{Index: a.index, Term: a.term})
 				}
 			case 2:
 				a.term++
@@ -222,9 +224,9 @@
 					held++
 				}
 			}
-			g.Expect(a.Held()).To(Equal(held))
+			g.Expect(a.BlockedCount()).To(Equal(held))
 			back := crasher.Decode(a.Encode())
-			g.Expect(back.Held()).To(Equal(held))
+			g.Expect(back.BlockedCount()).To(Equal(held))
 			g.Expect(back.Encode()).To(HaveLen(len(a.Suspects)))
 		}
 	})
--- a/crasher/print.go
+++ b/crasher/print.go
@@ -10,10 +10,10 @@
 // caller's request look like a crasher by a body with the same print.
 const printSize = 16
 
-// Print stands for what a server would work on: equal requests have equal prints, whoever sends
+// Fingerprint stands for what a server would work on: equal requests have equal prints, whoever sends
 // them. What differs between two sendings of one request, its id, its time and its deadline, is not
 // part of it. A print tells nothing of the body that it was made from.
-type Print [printSize]byte
+type Fingerprint [printSize]byte
 
 // Content is what a print is made of.
 type Content struct {
@@ -23,8 +23,8 @@
 	Body  []byte
 }
 
-// Of returns a request's print: 20 µs for a body of 26 KB.
-func Of(c Content) Print {
+// FingerprintOf returns a request's print: 20 µs for a body of 26 KB.
+func FingerprintOf(c Content) Fingerprint {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(c.Method), []byte(c.Host), []byte(c.Target), []byte(c.Model), c.Body} {
 		var length [8]byte
@@ -32,16 +32,16 @@
 		_, _ = h.Write(length[:]) // a hash takes everything
 		_, _ = h.Write(part)
 	}
-	return Print(h.Sum(nil))
+	return Fingerprint(h.Sum(nil))
 }
 
 // String returns the print in hex, as it stands in logs.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
-// ParsePrint reads a print as it travels; false where it is none.
-func ParsePrint(b []byte) (Print, bool) {
+// ParseFingerprint reads a print as it travels; false where it is none.
+func ParseFingerprint(b []byte) (Fingerprint, bool) {
 	if len(b) != printSize {
-		return Print{}, false
+		return Fingerprint{}, false
 	}
-	return Print(b), true
+	return Fingerprint(b), true
 }
--- a/crasher/print_test.go
+++ b/crasher/print_test.go
@@ -21,16 +21,16 @@
 	} {
 		other := base
 		change(&other)
-		NewWithT(t).Expect(crasher.Of(other)).NotTo(Equal(crasher.Of(base)), name)
+		NewWithT(t).Expect(crasher.FingerprintOf(other)).NotTo(Equal(crasher.FingerprintOf(base)), name)
 	}
 	g := NewWithT(t)
 	again := base
 	again.Body = []byte("body")
-	g.Expect(crasher.Of(again)).To(Equal(crasher.Of(base)))
-	p := crasher.Of(base)
-	read, ok := crasher.ParsePrint(p[:])
+	g.Expect(crasher.FingerprintOf(again)).To(Equal(crasher.FingerprintOf(base)))
+	p := crasher.FingerprintOf(base)
+	read, ok := crasher.ParseFingerprint(p[:])
 	g.Expect(ok).To(BeTrue())
 	g.Expect(read).To(Equal(p))
-	_, ok = crasher.ParsePrint(p[:15])
+	_, ok = crasher.ParseFingerprint(p[:15])
 	g.Expect(ok).To(BeFalse())
 }
--- a/crasher/served.go
+++ b/crasher/served.go
@@ -11,21 +11,21 @@
 // At nine requests a second these are the last two minutes.
 const servedMost = 1024
 
-// Served remembers which requests a box saw answered in full lately (5), the newest first.
-type Served struct {
+// ServedCache remembers which requests a box saw answered in full lately (5), the newest first.
+type ServedCache struct {
 	mu      sync.Mutex
 	order   *list.List // of Key
 	where   map[Key]*list.Element
 	checked uint64 // change of the agreed table that was looked at last
 }
 
-// NewServed returns an empty memory.
-func NewServed() *Served {
-	return &Served{order: list.New(), where: map[Key]*list.Element{}}
+// NewServedCache returns an empty memory.
+func NewServedCache() *ServedCache {
+	return &ServedCache{order: list.New(), where: map[Key]*list.Element{}}
 }
 
-// Note takes in that servers of a version answered a request in full.
-func (s *Served) Note(p Print, version string) {
+// Record takes in that servers of a version answered a request in full.
+func (s *ServedCache) Record(p Fingerprint, version string) {
 	key := Key{p, version}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,18 +41,18 @@
 	}
 }
 
-// Clears returns what is to be told of suspects that were answered in full, nil where there is nothing new.
-func (s *Served) Clears(b *Book) *wire.CrashReport {
+// ClearReport returns what is to be told of suspects that were answered in full, nil where there is nothing new.
+func (s *ServedCache) ClearReport(b *Registry) *wire.CrashReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if b.Changed() == s.checked {
+	if b.LastChanged() == s.checked {
 		return nil
 	}
-	s.checked = b.Changed()
+	s.checked = b.LastChanged()
 	r := &wire.CrashReport{}
 	for key := range b.Suspects {
-		if s.where[key] != nil && b.Suspected(key.Print, key.Version) {
-			r.Served = append(r.Served, &wire.ServedSuspect{Print: key.Print[:], Version: key.Version})
+		if s.where[key] != nil && b.Suspected(key.Fingerprint, key.Version) {
+			r.Served = append(r.Served, &wire.ServedSuspect{Print: key.Fingerprint[:], Version: key.Version})
 		}
 	}
 	if len(r.Served) == 0 {
--- a/crasher/shares_test.go
+++ b/crasher/shares_test.go
@@ -19,7 +19,7 @@
 	random *rand.Rand
 	now    time.Duration
 	queue  events
-	book   crasher.Book
+	book   crasher.Registry
 	index  uint64
 	known  time.Duration // from an end until all boxes know what is agreed of it
 
@@ -28,7 +28,7 @@
 	popular float64 // share of requests that are one of a few that many callers send
 
 	ended, innocents, populars, refused, refusedPopular, held, guilty int
-	answered                                                          map[crasher.Print]bool
+	answered                                                          map[crasher.Fingerprint]bool
 }
 
 type server struct {
@@ -38,7 +38,7 @@
 }
 
 type request struct {
-	print   crasher.Print
+	print   crasher.Fingerprint
 	model   int
 	guilty  bool
 	popular bool
@@ -82,7 +82,7 @@
 }
 
 func newFleet(seed uint64, servers, models, copies int, known time.Duration) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), book: crasher.NewBook(), known: known, answered: map[crasher.Print]bool{}}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), book: crasher.NewRegistry(), known: known, answered: map[crasher.Fingerprint]bool{}}
 	for range servers {
 		f.servers = append(f.servers, &server{at: map[*request]time.Duration{}})
 	}
@@ -98,12 +98,12 @@
 	var next func()
 	next = func() {
 		n++
-		r := &request{model: f.random.IntN(len(f.copies)), again: 1, print: crasher.Of(crasher.Content{Target: fmt.Sprint(n)})}
+		r := &request{model: f.random.IntN(len(f.copies)), again: 1, print: crasher.FingerprintOf(crasher.Content{Target: fmt.Sprint(n)})}
 		if f.random.Float64() < f.popular {
 			kind := f.random.IntN(3)
 			f.populars++
 			r.popular = true
-			r.model, r.print = kind%len(f.copies), crasher.Of(crasher.Content{Target: fmt.Sprint("popular", kind)})
+			r.model, r.print = kind%len(f.copies), crasher.FingerprintOf(crasher.Content{Target: fmt.Sprint("popular", kind)})
 		}
 		f.innocents++
 		f.attempt(r)
@@ -115,7 +115,7 @@
 // threaten has a guilty request come again and again.
 func (f *fleet) threaten(n int) {
 	f.guilty++
-	f.attempt(&request{model: n % len(f.copies), guilty: true, again: 1 << 30, print: crasher.Of(crasher.Content{Target: fmt.Sprint("guilty", n)})})
+	f.attempt(&request{model: n % len(f.copies), guilty: true, again: 1 << 30, print: crasher.FingerprintOf(crasher.Content{Target: fmt.Sprint("guilty", n)})})
 }
 
 func (f *fleet) attempt(r *request) {
@@ -124,7 +124,7 @@
 }
 
 func (f *fleet) send(r *request) {
-	if f.book.Holds(r.print, "v1") {
+	if f.book.Blocks(r.print, "v1") {
 		f.refuse(r)
 		return
 	}
@@ -184,10 +184,10 @@
 }
 
 // clear has it agreed that a request was answered in full.
-func (f *fleet) clear(p crasher.Print) {
+func (f *fleet) clear(p crasher.Fingerprint) {
 	f.after(f.known, func() {
 		f.index++
-		f.book.Take(&wire.CrashReport{Served: []*wire.ServedSuspect{{Print: p[:], Version: "v1"}}}, crasher.At{Index: f.index, Term: 1})
+		f.book.Apply(&wire.CrashReport{Served: []*wire.ServedSuspect{{Print: p[:], Version: "v1"}}}, crasher.CommitPosition{Index: f.index, Term: 1})
 	})
 }
 
@@ -214,15 +214,15 @@
 	clear(s.at)
 	f.after(f.known, func() {
 		f.index++
-		f.book.Take(report, crasher.At{Index: f.index, Term: 1})
+		f.book.Apply(report, crasher.CommitPosition{Index: f.index, Term: 1})
 		for _, s := range report.Signs {
-			if p, _ := crasher.ParsePrint(s.Print); f.answered[p] {
+			if p, _ := crasher.ParseFingerprint(s.Print); f.answered[p] {
 				f.clear(p)
 			}
 		}
 	})
 	for _, r := range broken {
-		if r.runs < 2 && !f.book.OneSignShort(r.print, "v1", r.runs-1) {
+		if r.runs < 2 && !f.book.NextReportBlocks(r.print, "v1", r.runs-1) {
 			f.after(time.Millisecond, func() { f.send(r) })
 			continue
 		}
--- a/crasher/watch.go
+++ b/crasher/watch.go
@@ -8,17 +8,17 @@
 	"leverdrum/wire"
 )
 
-// Fate is what became of a server that broke off.
-type Fate int
+// Liveness is what became of a server that broke off.
+type Liveness int
 
 // The fates.
 const (
-	// Unclear: it does not answer.
-	Unclear Fate = iota
-	// Lives: it goes on.
-	Lives
-	// Ended: nothing listens at its address any more.
-	Ended
+	// Unknown: it does not answer.
+	Unknown Liveness = iota
+	// Running: it goes on.
+	Running
+	// Terminated: nothing listens at its address any more.
+	Terminated
 )
 
 const (
@@ -42,26 +42,26 @@
 	ID, Version string
 }
 
-// Broken is a sending that broke before its answer was whole.
-type Broken struct {
-	Print Print
-	// Sent is when the request went out, Begun when its first event came (zero: none came) and At
+// FailedAttempt is a sending that broke before its answer was whole.
+type FailedAttempt struct {
+	Fingerprint Fingerprint
+	// SentAt is when the request went out, FirstEventAt when its first event came (zero: none came) and FailedAt
 	// when it broke.
-	Sent, Begun, At time.Time
-	// Silent tells that nothing broke, but that the server fell silent.
-	Silent bool
+	SentAt, FirstEventAt, FailedAt time.Time
+	// Unresponsive tells that nothing broke, but that the server fell silent.
+	Unresponsive bool
 }
 
 // weak is rule 2.
-func (b *Broken) weak() bool {
-	return b.Silent || !b.Begun.IsZero() && b.At.Sub(b.Begun) > longRun
+func (b *FailedAttempt) weak() bool {
+	return b.Unresponsive || !b.FirstEventAt.IsZero() && b.FailedAt.Sub(b.FirstEventAt) > longRun
 }
 
-// Watch keeps a box's broken sendings until it is known whether their server ended (1).
-type Watch struct {
+// Watcher keeps a box's broken sendings until it is known whether their server ended (1).
+type Watcher struct {
 	tell   func(*wire.CrashReport)
 	start  time.Time // of the clock by which this box's signs are compared
-	served *Served
+	served *ServedCache
 
 	mu      sync.Mutex
 	waiting map[Server]*waiting
@@ -69,18 +69,18 @@
 }
 
 type waiting struct {
-	list    []Broken
+	list    []FailedAttempt
 	looking bool
 }
 
-// NewWatch returns a Watch that tells of signs; tell must not block.
-func NewWatch(tell func(*wire.CrashReport)) *Watch {
-	return &Watch{tell: tell, start: time.Now(), served: NewServed(), waiting: map[Server]*waiting{}}
+// NewWatcher returns a Watch that tells of signs; tell must not block.
+func NewWatcher(tell func(*wire.CrashReport)) *Watcher {
+	return &Watcher{tell: tell, start: time.Now(), served: NewServedCache(), waiting: map[Server]*waiting{}}
 }
 
-// Break takes a broken sending in. look says what became of the server; it is asked on another
+// RecordFailure takes a broken sending in. look says what became of the server; it is asked on another
 // goroutine, a few times at most. Without it only what is agreed of the server counts.
-func (w *Watch) Break(s Server, b Broken, look func() Fate) {
+func (w *Watcher) RecordFailure(s Server, b FailedAttempt, look func() Liveness) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dropOld(time.Now())
@@ -100,19 +100,19 @@
 	}
 }
 
-func (w *Watch) look(s Server, look func() Fate) {
+func (w *Watcher) look(s Server, look func() Liveness) {
 	began := time.Now()
-	fate := Unclear
+	fate := Unknown
 	for _, at := range looks {
 		time.Sleep(at - time.Since(began))
-		if fate = look(); fate == Ended {
+		if fate = look(); fate == Terminated {
 			break
 		}
 	}
 	switch fate {
-	case Ended:
-		w.Ended(s)
-	case Lives:
+	case Terminated:
+		w.RecordTermination(s)
+	case Running:
 		w.take(s)
 	default:
 		w.mu.Lock()
@@ -124,7 +124,7 @@
 }
 
 // take takes out what waits for a server.
-func (w *Watch) take(s Server) []Broken {
+func (w *Watcher) take(s Server) []FailedAttempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := w.waiting[s]
@@ -136,8 +136,8 @@
 	return at.list
 }
 
-// Waiting returns the servers that word is waited for.
-func (w *Watch) Waiting() (list []Server) {
+// PendingServers returns the servers that word is waited for.
+func (w *Watcher) PendingServers() (list []Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for s := range w.waiting {
@@ -146,10 +146,10 @@
 	return list
 }
 
-// Ended tells of what broke at a server that has ended.
-func (w *Watch) Ended(s Server) {
+// RecordTermination tells of what broke at a server that has ended.
+func (w *Watcher) RecordTermination(s Server) {
 	now := time.Now()
-	list := slices.DeleteFunc(w.take(s), func(b Broken) bool { return now.Sub(b.At) > brokenFor })
+	list := slices.DeleteFunc(w.take(s), func(b FailedAttempt) bool { return now.Sub(b.FailedAt) > brokenFor })
 	if len(list) == 0 {
 		return
 	}
@@ -157,36 +157,36 @@
 	for i := range list {
 		b := &list[i]
 		r.Signs = append(r.Signs, &wire.CrashSign{
-			Print: b.Print[:], Server: s.ID, Version: s.Version, Weak: b.weak(), SentAgoMs: ms(now.Sub(b.Sent)), EndedAgoMs: ms(now.Sub(b.At)),
-			SentHereMs: b.Sent.Sub(w.start).Milliseconds(), EndedHereMs: b.At.Sub(w.start).Milliseconds(),
+			Print: b.Fingerprint[:], Server: s.ID, Version: s.Version, Weak: b.weak(), SentAgoMs: ms(now.Sub(b.SentAt)), EndedAgoMs: ms(now.Sub(b.FailedAt)),
+			SentHereMs: b.SentAt.Sub(w.start).Milliseconds(), EndedHereMs: b.FailedAt.Sub(w.start).Milliseconds(),
 		})
 	}
 	w.tell(r)
 }
 
-// Left drops what broke at a server that had said it leaves (1).
-func (w *Watch) Left(s Server) { w.take(s) }
+// RecordDrained drops what broke at a server that had said it leaves (1).
+func (w *Watcher) RecordDrained(s Server) { w.take(s) }
 
-// Done takes in that a server answered a request in full, and tells of it where the request is suspected (5).
-func (w *Watch) Done(p Print, version string, b *Book) {
-	w.served.Note(p, version)
+// RecordServed takes in that a server answered a request in full, and tells of it where the request is suspected (5).
+func (w *Watcher) RecordServed(p Fingerprint, version string, b *Registry) {
+	w.served.Record(p, version)
 	if b.Suspected(p, version) {
 		w.tell(&wire.CrashReport{Served: []*wire.ServedSuspect{{Print: p[:], Version: version}}})
 	}
 }
 
-// Agreed looks at what is agreed, and tells of suspects that this box saw answered before.
-func (w *Watch) Agreed(b *Book) {
-	if r := w.served.Clears(b); r != nil {
+// ReportServed looks at what is agreed, and tells of suspects that this box saw answered before.
+func (w *Watcher) ReportServed(b *Registry) {
+	if r := w.served.ClearReport(b); r != nil {
 		w.tell(r)
 	}
 }
 
 // dropOld forgets what waited in vain. Sendings are listed as they broke.
-func (w *Watch) dropOld(now time.Time) {
+func (w *Watcher) dropOld(now time.Time) {
 	for s, at := range w.waiting {
 		old := 0
-		for old < len(at.list) && now.Sub(at.list[old].At) > brokenFor {
+		for old < len(at.list) && now.Sub(at.list[old].FailedAt) > brokenFor {
 			old++
 		}
 		at.list = at.list[old:]
--- a/entry/crashers_test.go
+++ b/entry/crashers_test.go
@@ -75,7 +75,7 @@
 	}
 	next := a.view.Load().Clone()
 	next.Index++
-	next.Crashers.Take(r, crasher.At{Index: next.Index, Term: 1})
+	next.Crashers.Apply(r, crasher.CommitPosition{Index: next.Index, Term: 1})
 	a.view.Store(next)
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -66,11 +66,11 @@
 // Entry is the callers' side of a box.
 type Entry struct {
 	opts     Options
-	gate     *admit.Gate
+	gate     *admit.Controller
 	budget   *budget
 	patience *patience
 	demand   *demand
-	broken   *crasher.Watch
+	broken   *crasher.Watcher
 	inFlight atomic.Int64
 	draining atomic.Bool
 	stopping atomic.Bool
@@ -82,7 +82,7 @@
 	if opts.Crashes == nil {
 		opts.Crashes = func(*wire.CrashReport) {}
 	}
-	e := &Entry{broken: crasher.NewWatch(opts.Crashes), opts: opts, gate: admit.NewGate(opts.Directory), budget: newBudget(), patience: newPatience(), demand: newDemand()}
+	e := &Entry{broken: crasher.NewWatcher(opts.Crashes), opts: opts, gate: admit.NewController(opts.Directory), budget: newBudget(), patience: newPatience(), demand: newDemand()}
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", e.chat)
 	r.Get("/v1/models", e.models)
@@ -112,7 +112,7 @@
 
 // Changed starts requests that can start after the routes changed.
 func (e *Entry) Changed() {
-	e.gate.Kick()
+	e.gate.Dispatch()
 	e.noteEnded(e.opts.View())
 }
 
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -83,7 +83,7 @@
 	limits := throttle.New(throttle.Options{Limiter: limiter, View: l.agreed.view.Load, ReportLimit: l.tell, Meters: meter.New(), Log: zap.NewNop()})
 	d := route.NewDirectory("a")
 	said := pushback.New(pushback.Options{Now: clock.New().Now, Throttle: limits, Boxes: func() int { return boxes }, Log: zap.NewNop()})
-	d.Heed(said)
+	d.SetPushback(said)
 	d.Update(st)
 	box := httptest.NewServer(entry.New(entry.Options{
 		Directory: d, View: l.agreed.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -26,7 +26,7 @@
 // enter takes a place at a backend that takes the attempt now. One at its limit, or at rest, is skipped.
 func (e *Entry) enter(ctx context.Context, j *job) (*route.Backend, *reason.Reason) {
 	for {
-		b, why := e.gate.Enter(ctx, j.ticket)
+		b, why := e.gate.Acquire(ctx, j.ticket)
 		if why == reason.NoServer {
 			return nil, e.blockedBy(j)
 		}
@@ -38,7 +38,7 @@
 			j.permit = permit
 			return b, nil
 		}
-		e.gate.Leave(b, j.ticket, 0)
+		e.gate.Release(b, j.ticket, 0)
 		j.takenAfter = block.RetryAfter
 		if ctx.Err() != nil {
 			return nil, block.Reason
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -40,19 +40,19 @@
 	repeatable bool
 	key        string // of a call that may run at most once; "" without one
 	attempt    proxy.Attempt
-	ticket     *admit.Ticket
+	ticket     *admit.Request
 	kind       kindOfCall
-	stream     bool            // the caller asked for one
-	session    uint64          // hash of the session, 0 for none
-	tries      int             // attempts so far
-	firstLate  bool            // the stream's first event came too late
-	printed    crasher.Print   // once asked for
-	breaks     int             // attempts at whose end their servers may have ended
-	sentAt     time.Time       // of the newest attempt
-	permit     pushback.Permit // of that attempt
-	takenAfter time.Duration   // until a backend takes it, where limits or rests refused it
-	rested     bool            // the newest attempt's backend asked for rest
-	firstAt    time.Time       // of its first event; zero: none has come
+	stream     bool                // the caller asked for one
+	session    uint64              // hash of the session, 0 for none
+	tries      int                 // attempts so far
+	firstLate  bool                // the stream's first event came too late
+	printed    crasher.Fingerprint // once asked for
+	breaks     int                 // attempts at whose end their servers may have ended
+	sentAt     time.Time           // of the newest attempt
+	permit     pushback.Permit     // of that attempt
+	takenAfter time.Duration       // until a backend takes it, where limits or rests refused it
+	rested     bool                // the newest attempt's backend asked for rest
+	firstAt    time.Time           // of its first event; zero: none has come
 	// suspects are backends whose failed answers are not yet held against them.
 	suspects []*route.Backend
 	// slow is the backend whose attempt was given up as slow; nil: none, or it may be tried again.
@@ -78,9 +78,9 @@
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, j *job) {
 	ctx, cancel := context.WithDeadline(r.Context(), j.deadline())
 	defer cancel()
-	j.ticket = &admit.Ticket{Target: j.target, Caller: callerOf(r, j.owner), Urgency: urgencyOf(j.owner), Deadline: j.deadline(), Wish: route.Wish{Rank: rankOf(j.owner, j.target), Session: j.session}}
+	j.ticket = &admit.Request{Target: j.target, Caller: callerOf(r, j.owner), Urgency: urgencyOf(j.owner), Deadline: j.deadline(), Criteria: route.Criteria{Rank: rankOf(j.owner, j.target), Session: j.session}}
 	if first := j.target.Class.FirstToken; j.stream && first > 0 {
-		j.ticket.FirstBy = j.arrived.Add(first)
+		j.ticket.FirstEventDeadline = j.arrived.Add(first)
 	}
 	if j.key != "" {
 		e.serveKeyed(w, r, j)
@@ -146,7 +146,7 @@
 			e.settle(j, b, answer)
 			return result{answer: answer, backend: b}
 		}
-		e.gate.Leave(b, j.ticket, 0)
+		e.gate.Release(b, j.ticket, 0)
 		if failure == nil { // it is given to the caller if the next attempt gives none
 			if !j.rested {
 				j.suspects = append(j.suspects, b)
@@ -202,7 +202,7 @@
 func (e *Entry) settle(j *job, b *route.Backend, a *proxy.Answer) {
 	switch {
 	case !failed(a):
-		b.Succeeded()
+		b.RecordSuccess()
 		for _, suspect := range j.suspects {
 			e.blame(suspect, &proxy.Failure{Outcome: reason.Failed, Reason: reason.BackendFailed, Cause: errOthersDid})
 		}
@@ -279,8 +279,8 @@
 // blame notes a failure that is the backend's.
 func (e *Entry) blame(b *route.Backend, f *proxy.Failure) {
 	now := time.Now()
-	b.TooLate(now)
-	if b.Failed(now) {
+	b.RecordLate(now)
+	if b.RecordFailure(now) {
 		e.opts.Meters.Count(meter.Ejections).Inc()
 		e.opts.Records.Note(record.Server, b.Name, "ejected", f.Cause.Error())
 	}
@@ -292,7 +292,7 @@
 	if res.answer.Rest == nil {
 		// A caller that has gone does not read its answer.
 		_, _ = w.Write(res.answer.Body)
-		e.left(j, &res, time.Since(j.ticket.Began()))
+		e.left(j, &res, time.Since(j.ticket.StartedAt()))
 		e.noteServed(j, res.answer)
 		e.passed(j, res.backend, outcome)
 		return
@@ -302,7 +302,7 @@
 	err := e.passRest(ctx, w, j, &res)
 	switch {
 	case err == nil:
-		answered = time.Since(j.ticket.Began())
+		answered = time.Since(j.ticket.StartedAt())
 		e.noteServed(j, res.answer)
 		e.passed(j, res.backend, outcome)
 	case errors.Is(err, proxy.ErrCallerGone):
@@ -314,9 +314,9 @@
 
 // left frees the place at the backend, if one is held.
 func (e *Entry) left(j *job, res *result, answered time.Duration) {
-	e.noteDemand(j.target, time.Since(j.ticket.Began()))
+	e.noteDemand(j.target, time.Since(j.ticket.StartedAt()))
 	if res.backend != nil {
-		e.gate.Leave(res.backend, j.ticket, answered)
+		e.gate.Release(res.backend, j.ticket, answered)
 	}
 }
 
@@ -343,9 +343,9 @@
 		return
 	}
 	if now := time.Now(); now.After(j.deadline()) || j.firstLate {
-		b.TooLate(now)
+		b.RecordLate(now)
 	} else {
-		b.InTime()
+		b.RecordInTime()
 	}
 	e.finished(j, string(outcome), "by "+b.Name)
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -42,7 +42,7 @@
 			return err
 		}
 		e.blame(broke, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: err})
-		e.gate.Leave(broke, j.ticket, 0)
+		e.gate.Release(broke, j.ticket, 0)
 		*res = result{}
 		for res.answer == nil {
 			if resumes++; resumes > maxResumes || ctx.Err() != nil {
@@ -59,12 +59,12 @@
 func (e *Entry) copying(j *job, relay *stream.Relay, b *route.Backend) proxy.Copying {
 	how := proxy.Copying{Relay: relay, First: func() {
 		j.firstAt = time.Now()
-		e.gate.First(j.ticket, time.Since(j.ticket.Began()))
-		if due := j.ticket.FirstBy; !due.IsZero() && time.Now().After(due) {
+		e.gate.RecordFirstEvent(j.ticket, time.Since(j.ticket.StartedAt()))
+		if due := j.ticket.FirstEventDeadline; !due.IsZero() && time.Now().After(due) {
 			j.firstLate = true
 		}
 	}}
-	if b.Resumes {
+	if b.ResumesStreams {
 		how.StallAfter, how.Stalled = j.target.Class.StallAfter, e.budget.left
 	}
 	return how
@@ -102,7 +102,7 @@
 	if failure == nil && answer.Rest != nil {
 		answer.Rest.Close()
 	}
-	e.gate.Leave(b, j.ticket, 0)
+	e.gate.Release(b, j.ticket, 0)
 	return result{}
 }
 
@@ -111,13 +111,13 @@
 func (e *Entry) enterAgain(ctx context.Context, j *job, broke *route.Backend) *route.Backend {
 	var not []*route.Backend
 	for _, b := range j.target.Backends {
-		if !b.Resumes {
+		if !b.ResumesStreams {
 			not = append(not, b)
 		}
 	}
 	j.ticket.Tried = append([]*route.Backend{broke}, not...)
 	b, why := e.enter(ctx, j)
-	if why == reason.NoServer && broke.Resumes {
+	if why == reason.NoServer && broke.ResumesStreams {
 		j.ticket.Tried = not
 		b, _ = e.enter(ctx, j)
 	}
--- a/gateway/crashers_test.go
+++ b/gateway/crashers_test.go
@@ -105,11 +105,11 @@
 		g := NewWithT(t)
 		var ended atomic.Int64
 		view := viewOf(fleet.Safe, breaks(t, true, &ended), breaks(t, true, &ended), breaks(t, true, &ended))
-		p := crasher.Of(crasher.Content{Method: http.MethodPost, Host: "h.example", Target: "/x"})
+		p := crasher.FingerprintOf(crasher.Content{Method: http.MethodPost, Host: "h.example", Target: "/x"})
 		for i := range signs {
-			view.Crashers.Take(&wire.CrashReport{Signs: []*wire.CrashSign{
+			view.Crashers.Apply(&wire.CrashReport{Signs: []*wire.CrashSign{
 				{Print: p[:], Server: fmt.Sprint("before", i), Version: "v1", SentMs: int64(1000 * i), EndedMs: int64(1000*i + 10)},
-			}}, crasher.At{Index: uint64(1 + i), Term: 1})
+			}}, crasher.CommitPosition{Index: uint64(1 + i), Term: 1})
 		}
 		g.Expect(serveOne(view, &told{})).To(Equal(http.StatusBadGateway))
 		g.Expect(ended.Load()).To(Equal(servers), "%d signs before", signs)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,7 +94,7 @@
 	lasting  *lasting
 	notices  *notices
 	bodies   *bodies
-	broken   *crasher.Watch
+	broken   *crasher.Watcher
 	draining atomic.Bool
 	// stopping is closed when no further request is taken and none waits any more.
 	stopping chan struct{}
@@ -116,7 +116,7 @@
 		g.dir.regionOf = opts.RegionOf
 	}
 	g.budgets = newBudgets(opts.Budget, g.dir.boxes)
-	g.broken = crasher.NewWatch(opts.ReportCrash)
+	g.broken = crasher.NewWatcher(opts.ReportCrash)
 	return g
 }
 
--- a/gateway/job.go
+++ b/gateway/job.go
@@ -64,7 +64,7 @@
 	status   int     // of the answer that was passed on
 	last     *failure
 
-	printed crasher.Print // once asked for
+	printed crasher.Fingerprint // once asked for
 }
 
 func (g *Gateway) newJob(w http.ResponseWriter, r *http.Request, t *table, route *fleet.Route, body []byte, arrived time.Time) *job {
@@ -139,9 +139,9 @@
 
 // print stands for the request in whatever attempt and at whatever box it comes. It is made once, when it is
 // first asked for: at the end of the answer for most.
-func (j *job) print() crasher.Print {
-	if j.printed == (crasher.Print{}) {
-		j.printed = crasher.Of(crasher.Content{Method: j.r.Method, Host: j.r.Host, Target: j.r.RequestURI, Model: wantedOf(j.prompt), Body: j.body})
+func (j *job) print() crasher.Fingerprint {
+	if j.printed == (crasher.Fingerprint{}) {
+		j.printed = crasher.FingerprintOf(crasher.Content{Method: j.r.Method, Host: j.r.Host, Target: j.r.RequestURI, Model: wantedOf(j.prompt), Body: j.body})
 	}
 	return j.printed
 }
--- a/keyed/keyed.go
+++ b/keyed/keyed.go
@@ -34,16 +34,16 @@
 	keepBody = 64 << 10
 )
 
-// Caller asks other boxes.
-type Caller interface {
+// PeerClient asks other boxes.
+type PeerClient interface {
 	Call(ctx context.Context, box string, r *wire.Request) (*wire.Response, error)
 }
 
-// Guard is one box's part in guarding keys.
-type Guard struct {
+// ClaimReplica is one box's part in guarding keys.
+type ClaimReplica struct {
 	self    string // process
 	replica *replica.Replica
-	caller  Caller
+	caller  PeerClient
 	meters  *meter.Meters
 
 	mu    sync.Mutex
@@ -54,14 +54,14 @@
 }
 
 // New returns the guard of a process; Run makes it work.
-func New(self string, r *replica.Replica, c Caller, m *meter.Meters) *Guard {
-	return &Guard{self: self, replica: r, caller: c, meters: m, table: claim.NewTable(self), pace: pace{}}
+func New(self string, r *replica.Replica, c PeerClient, m *meter.Meters) *ClaimReplica {
+	return &ClaimReplica{self: self, replica: r, caller: c, meters: m, table: claim.NewTable(self), pace: pace{}}
 }
 
-func (g *Guard) now() time.Duration { return g.replica.Now() }
+func (g *ClaimReplica) now() time.Duration { return g.replica.Now() }
 
 // Run follows the list of boxes and takes slots over, until the context ends.
-func (g *Guard) Run(ctx context.Context) {
+func (g *ClaimReplica) Run(ctx context.Context) {
 	swept := time.Now()
 	for ctx.Err() == nil {
 		changed := g.replica.Changed()
@@ -85,7 +85,7 @@
 
 // enter takes over new epochs. Most changes of the agreed state bring none, and at a
 // hundred boxes the list is long.
-func (g *Guard) enter() {
+func (g *ClaimReplica) enter() {
 	list := g.replica.View().Epochs
 	if len(list) == 0 || list[len(list)-1].Number <= g.entered {
 		return
@@ -107,7 +107,7 @@
 // Acquire claims a key for an attempt. Granted means that the attempt may call;
 // Taken and OtherCall come with the claim that stands against it; NotReady
 // means that no majority of the holders could be asked.
-func (g *Guard) Acquire(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
+func (g *ClaimReplica) Acquire(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	answer := claim.Answer{Verdict: claim.NotReady}
@@ -129,7 +129,7 @@
 	return answer
 }
 
-func (g *Guard) holders(key string) (holders []string, epoch uint64) {
+func (g *ClaimReplica) holders(key string) (holders []string, epoch uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.table.Current()
@@ -141,7 +141,7 @@
 
 // askAll asks all holders of one epoch at once and returns as soon as a
 // majority has granted.
-func (g *Guard) askAll(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
+func (g *ClaimReplica) askAll(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
 	holders, epoch := g.holders(key)
 	answers := make(chan claim.Answer, len(holders))
 	for _, h := range holders {
@@ -166,7 +166,7 @@
 	return against
 }
 
-func (g *Guard) ask(ctx context.Context, holder, key, attempt string, digest []byte, epoch uint64) claim.Answer {
+func (g *ClaimReplica) ask(ctx context.Context, holder, key, attempt string, digest []byte, epoch uint64) claim.Answer {
 	if holder == g.self {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -190,13 +190,13 @@
 
 // Release gives up a claim whose attempt has not called and never will. What
 // does not reach a holder ends by age.
-func (g *Guard) Release(key, attempt string) {
+func (g *ClaimReplica) Release(key, attempt string) {
 	g.endAll(&wire.ClaimEnd{Key: key, Attempt: attempt})
 }
 
 // Record keeps how the call ended with a majority of the holders, as far as
 // they can be reached in time.
-func (g *Guard) Record(key, attempt string, digest []byte, r *claim.Result) {
+func (g *ClaimReplica) Record(key, attempt string, digest []byte, r *claim.Result) {
 	result := &wire.CallResult{Outcome: r.Outcome, Status: uint32(r.Status), Header: r.Header, Body: r.Body}
 	if len(r.Body) > keepBody {
 		result.Header, result.Body, result.Outcome = nil, nil, OutcomeTooLarge
@@ -208,7 +208,7 @@
 const OutcomeTooLarge = "done-too-large"
 
 // endAll tells all holders, and returns when a majority has taken it.
-func (g *Guard) endAll(e *wire.ClaimEnd) {
+func (g *ClaimReplica) endAll(e *wire.ClaimEnd) {
 	holders, _ := g.holders(e.Key)
 	done := make(chan bool, len(holders))
 	for _, h := range holders {
@@ -225,7 +225,7 @@
 	}
 }
 
-func (g *Guard) end(holder string, e *wire.ClaimEnd) bool {
+func (g *ClaimReplica) end(holder string, e *wire.ClaimEnd) bool {
 	if holder == g.self {
 		g.noteEnd(e)
 		return true
@@ -236,7 +236,7 @@
 	return err == nil
 }
 
-func (g *Guard) noteEnd(e *wire.ClaimEnd) {
+func (g *ClaimReplica) noteEnd(e *wire.ClaimEnd) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if e.Result == nil {
@@ -247,7 +247,7 @@
 }
 
 // pull asks for what this box still has to take over, one question a holder.
-func (g *Guard) pull(ctx context.Context) {
+func (g *ClaimReplica) pull(ctx context.Context) {
 	g.mu.Lock()
 	pulls := g.pace.due(g.now(), g.table.PendingPulls(g.now()))
 	g.mu.Unlock()
@@ -264,7 +264,7 @@
 	wg.Wait()
 }
 
-func (g *Guard) pullFrom(ctx context.Context, holder string, slots []*wire.SlotPull) {
+func (g *ClaimReplica) pullFrom(ctx context.Context, holder string, slots []*wire.SlotPull) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	response, err := g.caller.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_ClaimPull{ClaimPull: &wire.ClaimPull{Process: holder, Slots: slots}}})
@@ -282,8 +282,8 @@
 	}
 }
 
-// Answer answers another box; nil when the request is none of this package's.
-func (g *Guard) Answer(r *wire.Request) *wire.Response {
+// HandleRequest answers another box; nil when the request is none of this package's.
+func (g *ClaimReplica) HandleRequest(r *wire.Request) *wire.Response {
 	switch k := r.Kind.(type) {
 	case *wire.Request_Claim:
 		return &wire.Response{Kind: &wire.Response_Claim{Claim: g.answerClaim(k.Claim)}}
@@ -296,7 +296,7 @@
 	return nil
 }
 
-func (g *Guard) answerClaim(c *wire.Claim) *wire.ClaimAnswer {
+func (g *ClaimReplica) answerClaim(c *wire.Claim) *wire.ClaimAnswer {
 	if c.Process != g.self {
 		return &wire.ClaimAnswer{Verdict: string(claim.OtherEpoch)}
 	}
@@ -310,7 +310,7 @@
 	return answer
 }
 
-func (g *Guard) handOver(p *wire.ClaimPull) *wire.ClaimHandOver {
+func (g *ClaimReplica) handOver(p *wire.ClaimPull) *wire.ClaimHandOver {
 	over := &wire.ClaimHandOver{}
 	if p.Process != g.self {
 		return over
@@ -334,14 +334,14 @@
 // HandedOver reports whether no slot is held by this box any more, nor being
 // waited for: the next holders of every slot that it held are ready. It asks
 // nobody; a planned stop waits a little for the others to pull.
-func (g *Guard) HandedOver() bool {
+func (g *ClaimReplica) HandedOver() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.table.Current()
 	return c == nil || !slices.ContainsFunc(c.Processes, func(p claim.Process) bool { return p.ID == g.self })
 }
 
-func (g *Guard) toRecord(c *claim.Claim) *wire.ClaimRecord {
+func (g *ClaimReplica) toRecord(c *claim.Claim) *wire.ClaimRecord {
 	r := &wire.ClaimRecord{Key: c.Key, Attempt: c.Attempt, Digest: c.Digest, AgeMs: uint32((g.now() - c.CreatedAt).Milliseconds())}
 	if c.Result != nil {
 		r.Result = &wire.CallResult{Outcome: c.Result.Outcome, Status: uint32(c.Result.Status), Header: c.Result.Header, Body: c.Result.Body}
@@ -349,7 +349,7 @@
 	return r
 }
 
-func (g *Guard) fromRecord(r *wire.ClaimRecord) *claim.Claim {
+func (g *ClaimReplica) fromRecord(r *wire.ClaimRecord) *claim.Claim {
 	c := &claim.Claim{Key: r.Key, Attempt: r.Attempt, Digest: r.Digest, CreatedAt: g.now() - time.Duration(r.AgeMs)*time.Millisecond}
 	if r.Result != nil {
 		c.Result = fromResult(r.Result)
@@ -362,4 +362,4 @@
 }
 
 // AgeOf returns how long ago a claim was made.
-func (g *Guard) AgeOf(c *claim.Claim) time.Duration { return g.now() - c.CreatedAt }
+func (g *ClaimReplica) AgeOf(c *claim.Claim) time.Duration { return g.now() - c.CreatedAt }
--- a/route/backend.go
+++ b/route/backend.go
@@ -13,8 +13,8 @@
 	Address     string
 	Hall        string
 	Concurrency int
-	// Resumes tells that it goes on with streams that others began.
-	Resumes bool
+	// ResumesStreams tells that it goes on with streams that others began.
+	ResumesStreams bool
 
 	hash         uint64 // of the name
 	inFlight     atomic.Int64
@@ -45,8 +45,8 @@
 	mostOver = 2
 )
 
-// HasRoom reports whether the box's limit at the backend is not reached (6).
-func (b *Backend) HasRoom() bool {
+// HasCapacity reports whether the box's limit at the backend is not reached (6).
+func (b *Backend) HasCapacity() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return float64(b.inFlight.Load()) < b.limit
@@ -59,8 +59,8 @@
 	return b.limit
 }
 
-// InTime lets the limit grow (6).
-func (b *Backend) InTime() {
+// RecordInTime lets the limit grow (6).
+func (b *Backend) RecordInTime() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if float64(b.inFlight.Load()) >= b.limit-1 {
@@ -68,8 +68,8 @@
 	}
 }
 
-// TooLate makes the limit fall (6).
-func (b *Backend) TooLate(now time.Time) {
+// RecordLate makes the limit fall (6).
+func (b *Backend) RecordLate(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.shrunk) < shrinkEvery {
@@ -79,14 +79,14 @@
 	b.limit = max(1, b.limit*shrinkBy)
 }
 
-// Report takes over what the backend says it runs and queues (4).
-func (b *Backend) Report(work int) { b.reported.Store(max(0, int64(work)-b.inFlight.Load())) }
+// RecordReport takes over what the backend says it runs and queues (4).
+func (b *Backend) RecordReport(work int) { b.reported.Store(max(0, int64(work)-b.inFlight.Load())) }
 
-// SetLeaving takes over the backend's own or the platform's word.
-func (b *Backend) SetLeaving(v bool) { b.leaving.Store(v) }
+// SetDraining takes over the backend's own or the platform's word.
+func (b *Backend) SetDraining(v bool) { b.leaving.Store(v) }
 
-// Leaving reports whether the backend leaves.
-func (b *Backend) Leaving() bool { return b.leaving.Load() }
+// Draining reports whether the backend leaves.
+func (b *Backend) Draining() bool { return b.leaving.Load() }
 
 // load is the work for the backend's size (4).
 func (b *Backend) load() float64 {
@@ -116,8 +116,8 @@
 	ejections int
 }
 
-// Failed notes a failure, and reports whether it took the backend out (2).
-func (b *Backend) Failed(now time.Time) bool {
+// RecordFailure notes a failure, and reports whether it took the backend out (2).
+func (b *Backend) RecordFailure(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := &b.health
@@ -135,8 +135,8 @@
 	return true
 }
 
-// Succeeded notes an answer.
-func (b *Backend) Succeeded() {
+// RecordSuccess notes an answer.
+func (b *Backend) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := &b.health
--- a/route/choose.go
+++ b/route/choose.go
@@ -13,8 +13,8 @@
 // own hall may have and still be preferred (5).
 const hallBonus = 0.1
 
-// Wish is what a request asks of the choice besides its target.
-type Wish struct {
+// Criteria is what a request asks of the choice besides its target.
+type Criteria struct {
 	// Tried are backends to pass over.
 	Tried []*Backend
 	// Rank is the urgency of the request, 0 the highest.
@@ -25,19 +25,19 @@
 
 // Choose picks a backend. Without one it reports whether some could be taken but
 // for their limits.
-func (d *Directory) Choose(t *Target, now time.Time, w Wish) (b *Backend, busy bool) {
+func (d *Directory) Choose(t *Target, now time.Time, w Criteria) (b *Backend, busy bool) {
 	b, busy = d.choose(t, now, w)
 	if b == nil || w.Session == 0 || t.AffinitySlack == 0 {
 		return b, busy
 	}
 	home := d.homeOf(t.Backends, now, w)
-	if home != nil && home.HasRoom() && home.load() <= b.load()+t.AffinitySlack { // (7)
+	if home != nil && home.HasCapacity() && home.load() <= b.load()+t.AffinitySlack { // (7)
 		return home, false
 	}
 	return b, false
 }
 
-func (d *Directory) choose(t *Target, now time.Time, w Wish) (b *Backend, busy bool) {
+func (d *Directory) choose(t *Target, now time.Time, w Criteria) (b *Backend, busy bool) {
 	if !mostEjected(t.Backends, now) {
 		b, full := d.draw(t.Backends, now, w, false)
 		if b != nil || full {
@@ -51,7 +51,7 @@
 // homeOf returns the session's backend: the one of those that work with the
 // highest hash of both, so that all boxes find the same one and few sessions move
 // when backends come and go (7).
-func (d *Directory) homeOf(list []*Backend, now time.Time, w Wish) *Backend {
+func (d *Directory) homeOf(list []*Backend, now time.Time, w Criteria) *Backend {
 	var home *Backend
 	var highest uint64
 	for _, b := range list {
@@ -79,7 +79,7 @@
 	return 2*out > len(list)
 }
 
-func (d *Directory) draw(list []*Backend, now time.Time, w Wish, ejectedToo bool) (b *Backend, full bool) {
+func (d *Directory) draw(list []*Backend, now time.Time, w Criteria, ejectedToo bool) (b *Backend, full bool) {
 	if len(list) == 0 {
 		return nil, false
 	}
@@ -87,7 +87,7 @@
 		if d.drains(b) || contains(w.Tried, b) || !ejectedToo && b.ejected(now) || d.blocked(b, w.Rank) {
 			return false
 		}
-		room := b.HasRoom()
+		room := b.HasCapacity()
 		full = full || !room
 		return room
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -72,8 +72,8 @@
 	stale atomic.Bool
 }
 
-// Heed has the directory keep to what backends say of themselves (8). It must be called before requests are routed.
-func (d *Directory) Heed(said *pushback.Registry) { d.pushback = said }
+// SetPushback has the directory keep to what backends say of themselves (8). It must be called before requests are routed.
+func (d *Directory) SetPushback(said *pushback.Registry) { d.pushback = said }
 
 // Blocked reports whether a backend takes no request of a rank now, why, and for how long yet (8).
 func (d *Directory) Blocked(b *Backend, rank int) (pushback.Block, bool) {
@@ -113,9 +113,9 @@
 	return m
 }
 
-// SetGone takes over the platform's word on who leaves, and reports whether it
+// SetTerminatedServers takes over the platform's word on who leaves, and reports whether it
 // changed.
-func (d *Directory) SetGone(names map[string]bool) bool {
+func (d *Directory) SetTerminatedServers(names map[string]bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	changed := !maps.Equal(d.gone, names)
@@ -123,9 +123,9 @@
 	return changed
 }
 
-// Gone returns the machines that leave, by the platform's list. The map must
+// TerminatedServers returns the machines that leave, by the platform's list. The map must
 // not be changed.
-func (d *Directory) Gone() map[string]bool {
+func (d *Directory) TerminatedServers() map[string]bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gone
@@ -170,7 +170,7 @@
 func (d *Directory) refresh(f *fleet.Fleet) {
 	next := map[string]*Backend{}
 	for name, s := range f.Servers {
-		next[name] = d.keep(&Backend{Name: name, Address: s.Address, Hall: s.Hall, Concurrency: s.Kind.Concurrency, Resumes: s.Kind.Resumes})
+		next[name] = d.keep(&Backend{Name: name, Address: s.Address, Hall: s.Hall, Concurrency: s.Kind.Concurrency, ResumesStreams: s.Kind.Resumes})
 	}
 	for name, i := range f.Instances {
 		next[name] = d.keep(&Backend{Name: name, Address: i.Address, Hall: i.Hall, Concurrency: i.Concurrency})
@@ -196,7 +196,7 @@
 // keep returns the backend that is known already if it is the same.
 func (d *Directory) keep(next *Backend) *Backend {
 	b := d.backends[next.Name]
-	if b != nil && b.Address == next.Address && b.Hall == next.Hall && b.Concurrency == next.Concurrency && b.Resumes == next.Resumes {
+	if b != nil && b.Address == next.Address && b.Hall == next.Hall && b.Concurrency == next.Concurrency && b.ResumesStreams == next.ResumesStreams {
 		return b
 	}
 	if b != nil && b.Address != next.Address {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -36,7 +36,7 @@
 func chosen(d *route.Directory, target *route.Target) map[string]int {
 	count := map[string]int{}
 	for range 300 {
-		if b, _ := d.Choose(target, time.Now(), route.Wish{}); b != nil {
+		if b, _ := d.Choose(target, time.Now(), route.Criteria{}); b != nil {
 			count[b.Name]++
 		}
 	}
@@ -58,8 +58,8 @@
 
 func TestLeavingByEachWord(t *testing.T) {
 	for name, leave := range map[string]func(d *route.Directory, st *state.State){
-		"the server's own": func(d *route.Directory, _ *state.State) { d.Backends()["s0"].SetLeaving(true) },
-		"the platform's":   func(d *route.Directory, _ *state.State) { d.SetGone(map[string]bool{"s0": true}) },
+		"the server's own": func(d *route.Directory, _ *state.State) { d.Backends()["s0"].SetDraining(true) },
+		"the platform's":   func(d *route.Directory, _ *state.State) { d.SetTerminatedServers(map[string]bool{"s0": true}) },
 		"the fleet file's": func(_ *route.Directory, st *state.State) { st.Fleet.Servers["s0"].Leaving = true },
 		"the agreed":       func(_ *route.Directory, st *state.State) { st.Servers.Get("s0").Leaving = true },
 	} {
@@ -77,15 +77,15 @@
 	d, _, target := newDirectory(t)
 	now := time.Now()
 	bad := d.Backends()["s0"]
-	g.Expect(bad.Failed(now)).To(BeFalse())
-	g.Expect(bad.Failed(now)).To(BeFalse())
-	g.Expect(bad.Failed(now)).To(BeTrue(), "the third failure in a row takes it out")
+	g.Expect(bad.RecordFailure(now)).To(BeFalse())
+	g.Expect(bad.RecordFailure(now)).To(BeFalse())
+	g.Expect(bad.RecordFailure(now)).To(BeTrue(), "the third failure in a row takes it out")
 	g.Expect(chosen(d, target)["s0"]).To(BeZero())
-	b, _ := d.Choose(target, now.Add(time.Second), route.Wish{Tried: []*route.Backend{d.Backends()["s1"], d.Backends()["s2"]}})
+	b, _ := d.Choose(target, now.Add(time.Second), route.Criteria{Tried: []*route.Backend{d.Backends()["s1"], d.Backends()["s2"]}})
 	g.Expect(b).To(Equal(bad), "its time is up")
 	for _, name := range []string{"s1", "s2"} {
 		for range 3 {
-			d.Backends()[name].Failed(now)
+			d.Backends()[name].RecordFailure(now)
 		}
 	}
 	g.Expect(chosen(d, target)).NotTo(BeEmpty(), "all out is no reason to refuse (2)")
@@ -98,19 +98,19 @@
 	bad := d.Backends()["s0"]
 	answers := 0
 	for ; chosen(d, target)["s0"] > 0 && answers < 100; answers += 2 { // it never fails twice in a row
-		bad.Succeeded()
-		bad.Failed(now)
+		bad.RecordSuccess()
+		bad.RecordFailure(now)
 	}
 	g.Expect(answers).To(BeNumerically("<", 30))
 	g.Expect(bad.Limit()).To(BeEquivalentTo(1), "it comes back with one request (2)")
-	g.Expect(bad.Failed(now.Add(time.Second))).To(BeTrue(), "one failure takes it out again")
+	g.Expect(bad.RecordFailure(now.Add(time.Second))).To(BeTrue(), "one failure takes it out again")
 	for range 100 {
-		bad.Succeeded()
+		bad.RecordSuccess()
 	}
-	g.Expect(bad.Failed(now.Add(time.Minute))).To(BeFalse(), "it is well again")
+	g.Expect(bad.RecordFailure(now.Add(time.Minute))).To(BeFalse(), "it is well again")
 	for range 3 { // two of three are out
-		d.Backends()["s1"].Failed(now)
-		bad.Failed(now)
+		d.Backends()["s1"].RecordFailure(now)
+		bad.RecordFailure(now)
 	}
 	g.Expect(chosen(d, target)).To(HaveKey("s0"), "when most are out the fault is not theirs")
 }
@@ -120,18 +120,18 @@
 	d, _, _ := newDirectory(t)
 	b := d.Backends()["s0"]
 	now := time.Now()
-	b.TooLate(now)
-	b.TooLate(now)
+	b.RecordLate(now)
+	b.RecordLate(now)
 	g.Expect(b.Limit()).To(BeNumerically("~", 20.0/3, 0.01), "it falls once a second at most (6)")
 	for range 7 {
 		b.Begin()
 	}
-	g.Expect(b.HasRoom()).To(BeFalse())
+	g.Expect(b.HasCapacity()).To(BeFalse())
 	for range 100 {
-		b.InTime()
+		b.RecordInTime()
 	}
 	g.Expect(b.Limit()).To(BeNumerically(">", 7))
-	g.Expect(b.HasRoom()).To(BeTrue())
+	g.Expect(b.HasCapacity()).To(BeTrue())
 }
 
 func TestAdapterNeedsItsModelBeside(t *testing.T) {
@@ -158,7 +158,7 @@
 	other := route.NewDirectory("b")
 	other.Update(st)
 	home := func(d *route.Directory, session int) string {
-		b, _ := d.Choose(d.Table().Models["m"], time.Now(), route.Wish{Session: uint64(session)})
+		b, _ := d.Choose(d.Table().Models["m"], time.Now(), route.Criteria{Session: uint64(session)})
 		return b.Name
 	}
 	count, before := map[string]int{}, make([]string, sessions+1)
@@ -170,7 +170,7 @@
 	for _, name := range []string{"s0", "s1", "s2"} {
 		g.Expect(count[name]).To(BeNumerically(">", sessions/5), "%v", count)
 	}
-	d.Backends()["s1"].SetLeaving(true)
+	d.Backends()["s1"].SetDraining(true)
 	for s := 1; s <= sessions; s++ {
 		if before[s] == "s1" {
 			g.Expect(home(d, s)).NotTo(Equal("s1"))
@@ -178,13 +178,13 @@
 			g.Expect(home(d, s)).To(Equal(before[s]))
 		}
 	}
-	d.Backends()["s1"].SetLeaving(false)
+	d.Backends()["s1"].SetDraining(false)
 	for range 7 { // of 10 places, with a slack of half its size
 		d.Backends()["s0"].Begin()
 	}
 	for s := 1; s <= sessions; s++ {
 		g.Expect(home(d, s)).NotTo(Equal("s0"), "it yields to load")
 	}
-	b, _ := d.Choose(target, time.Now(), route.Wish{Session: 1, Tried: []*route.Backend{d.Backends()[before[1]]}})
+	b, _ := d.Choose(target, time.Now(), route.Criteria{Session: 1, Tried: []*route.Backend{d.Backends()[before[1]]}})
 	g.Expect(b.Name).NotTo(Equal(before[1]), "a retry goes elsewhere")
 }
--- a/state/state.go
+++ b/state/state.go
@@ -86,7 +86,7 @@
 	Limits map[string]*wire.ServerLimit
 
 	// Crashers are the requests during which servers crashed.
-	Crashers crasher.Book
+	Crashers crasher.Registry
 
 	// Moves counts the loads other than the first placement of each item.
 	Moves uint64
@@ -127,7 +127,7 @@
 // New returns the state before the first entry.
 func New() *State {
 	return &State{
-		Members: map[string]*wire.Member{}, MaxCopies: map[string]uint32{}, Announcements: newAnnouncements(), Limits: map[string]*wire.ServerLimit{}, Crashers: crasher.NewBook(),
+		Members: map[string]*wire.Member{}, MaxCopies: map[string]uint32{}, Announcements: newAnnouncements(), Limits: map[string]*wire.ServerLimit{}, Crashers: crasher.NewRegistry(),
 		Inventory: ledger.NewInventory(), interner: newInterner(),
 	}
 }
@@ -172,7 +172,7 @@
 	case *wire.Command_Withdraw:
 		s.withdraw(k.Withdraw)
 	case *wire.Command_Crashes:
-		return Result{Blocked: s.Crashers.Take(k.Crashes, crasher.At{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
+		return Result{Blocked: s.Crashers.Apply(k.Crashes, crasher.CommitPosition{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
 	case *wire.Command_Raise:
 		return s.raise(level.Level(k.Raise.Level))
 	case *wire.Command_Limit:
@@ -180,7 +180,7 @@
 	case *wire.Command_Evacuate:
 		s.evacuate(k.Evacuate, c.UnixMs)
 	case *wire.Command_Release:
-		return Result{Released: s.Crashers.Release(k.Release, crasher.At{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
+		return Result{Released: s.Crashers.Release(k.Release, crasher.CommitPosition{Index: e.Index, Term: e.Term, UnixMs: c.UnixMs})}
 	default:
 		return Result{UnknownLevel: Error.New("entry %d is a command that this build does not support", e.Index)}
 	}
