--- a/control/announce.go
+++ b/control/announce.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// silentAfter is the silence after which an announced server gets work only
-	// when no other is left.
-	silentAfter = 3300 * time.Millisecond
-	// unheardAfter is the same for a server that this leader has not heard yet: its words
-	// may still go to a box that no leader reaches.
-	unheardAfter = 8 * time.Second
-	// insistFor is for how long a silent server must speak from an address that another
-	// has by now before it is believed. Words that a cut held up come all at once; a
-	// server that runs speaks again within a second or two.
-	insistFor = 500 * time.Millisecond
-	// forgetAfter is the silence after which nothing of an id can arrive any more.
-	forgetAfter = 30 * time.Second
-	// wantFor is how long a want lasts that is not repeated.
-	wantFor = 2 * time.Second
-	// differFor is how long a server's word must differ from the ledger, with no
-	// order given meanwhile, before it is believed.
-	differFor = 2500 * time.Millisecond
+	// unresponsiveAfter is the time without an announcement after which a server gets work only if
+	// no other server is left.
+	unresponsiveAfter = 3300 * time.Millisecond
+	// neverSeenUnresponsiveAfter is the same for a server from which this leader has not received
+	// an announcement yet. Its announcements may still go to a box that no leader reaches.
+	neverSeenUnresponsiveAfter = 8 * time.Second
+	// contestedConfirmTime is how long an unresponsive server must keep announcing an address that
+	// another server now has before it is believed. Announcements delayed by a network partition
+	// arrive all at once; a running server announces itself again within a second or two.
+	contestedConfirmTime = 500 * time.Millisecond
+	// serverRemovalTimeout is the time without an announcement after which no message of an id can
+	// arrive any more.
+	serverRemovalTimeout = 30 * time.Second
+	// wantTTL is how long a want stays valid without being repeated.
+	wantTTL = 2 * time.Second
+	// mismatchConfirmTime is how long the residents that a server reports must differ from the
+	// ledger, with no order issued meanwhile, before the report is adopted.
+	mismatchConfirmTime = 2500 * time.Millisecond
 )
 
-// heard is what this leader heard of an announced server.
-type heard struct {
-	at       time.Time
+// contact is what this leader received from an announced server.
+type contact struct {
+	lastSeen time.Time
 	sequence uint64
-	// insists is since when it speaks from an address that another id has.
-	insists time.Time
-	// differs is since when its residents are others than those agreed.
-	differs time.Time
-	// ordered is when an order to it was closed last.
-	ordered time.Time
+	// contestedSince is when the server began to announce an address that another id has.
+	contestedSince time.Time
+	// mismatchSince is when the reported residents began to differ from the committed ones.
+	mismatchSince time.Time
+	// lastOrderClosed is when the last order to the server was closed.
+	lastOrderClosed time.Time
 }
 
-// leads reports whether the box may act as leader now.
+// leads reports whether the box may currently act as leader.
 func (c *Controller) leads() bool {
-	_, held := c.opts.Replica.Lease()
-	return held && c.opts.Replica.Status().Established
+	_, hasLease := c.opts.Replica.Lease()
+	return hasLease && c.opts.Replica.Status().Established
 }
 
-// Announce takes over what a server says of itself; it returns once what others
-// must know is agreed. A word that was overtaken by a later one changes nothing.
+// Announce records the announcement of a server. It returns once the part that other boxes must
+// know is committed. An announcement that was overtaken by a later one changes nothing.
 func (c *Controller) Announce(ctx context.Context, a *wire.Announcement) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
@@ -63,14 +64,14 @@
 	view := c.opts.Replica.View()
 	a.Cold = a.Cold && view.Level >= level.Evacuations
 	known := view.Announcements.Get(a.Id)
-	if view.HasNewerIncarnation(a) || known == nil && strange(a, view) {
+	if view.HasNewerIncarnation(a) || known == nil && unknownService(a, view) {
 		return nil
 	}
-	news, differs := c.note(a, known, view)
-	if !news && !differs {
+	changed, mismatch := c.noteAnnouncement(a, known, view)
+	if !changed && !mismatch {
 		return nil
 	}
-	a.TakeResidents = differs
+	a.TakeResidents = mismatch
 	_, err := c.opts.Replica.Propose(ctx, &wire.Command{Kind: &wire.Command_Announce{Announce: a}})
 	if err == nil {
 		event.ServerAnnounced.Log(c.opts.Log, zap.String("server", a.Id), zap.String("service", a.Service), zap.String("address", a.Address), zap.Bool("leaving", a.Leaving))
@@ -78,109 +79,110 @@
 	return err
 }
 
-// strange reports whether an announcement is of a service that the configuration does not name: there is nothing
-// to use its server for. Before the first configuration all are taken in.
-func strange(a *wire.Announcement, view *state.State) bool {
+// unknownService reports whether an announcement is for a service that the configuration does not
+// name. Its server has no use. Before the first configuration, all servers are accepted.
+func unknownService(a *wire.Announcement, view *state.State) bool {
 	return view.Fleet != nil && view.Fleet.Pools[a.Service] == nil
 }
 
-// note remembers that a server was heard, and reports whether its word is news that
-// must be agreed, or differs for so long from what is agreed to be resident that it is
-// to be believed.
-func (c *Controller) note(a, known *wire.Announcement, view *state.State) (news, differs bool) {
+// noteAnnouncement records the contact with a server. It reports whether the announcement changes
+// something that must be committed, and whether its residents have differed from the committed ones
+// for so long that they are to be adopted.
+func (c *Controller) noteAnnouncement(a, known *wire.Announcement, view *state.State) (changed, mismatch bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.heard[a.Id]
+	h := c.contacts[a.Id]
 	if h == nil {
-		h = &heard{}
-		c.heard[a.Id] = h
+		h = &contact{}
+		c.contacts[a.Id] = h
 	}
 	late := a.Sequence < h.sequence
 	if !late {
-		delete(c.doubts, a.Id)
-		h.at, h.sequence = time.Now(), a.Sequence
+		delete(c.suspicions, a.Id)
+		h.lastSeen, h.sequence = time.Now(), a.Sequence
 	}
 	contested := known.GetSilent() && c.contested(a, view)
 	if !contested {
-		h.insists = time.Time{}
+		h.contestedSince = time.Time{}
 	}
 	switch {
 	case a.Leaving && !known.GetLeaving():
 		return true, false
 	case late, known.GetLeaving():
 		return false, false
-	case contested && !h.insisted(time.Now()):
+	case contested && !h.reportsPersist(time.Now()):
 		return false, false
 	case known == nil, known.Silent, known.Address != a.Address, known.Service != a.Service, known.Hall != a.Hall, known.Cold != a.Cold:
-		news = true
+		changed = true
 	default:
-		news = !slices.Equal(known.AtHand, a.AtHand)
+		changed = !slices.Equal(known.AtHand, a.AtHand)
 	}
-	return news, a.Engine && c.differs(h, a, view)
+	return changed, a.Engine && c.residentsMismatch(h, a, view)
 }
 
-// contested reports whether another id that was heard lately has a server's address: one of
-// the two has ended, and its last words were late.
+// contested reports whether another id that was seen recently has the server's address. One of the
+// two has terminated, and its last announcements were late.
 func (c *Controller) contested(a *wire.Announcement, view *state.State) bool {
 	for _, id := range view.Announcements.ByAddress(a.Address) {
-		if h := c.heard[id]; id != a.Id && !view.Announcements.Get(id).Silent && h != nil && time.Since(h.at) < silentAfter {
+		if h := c.contacts[id]; id != a.Id && !view.Announcements.Get(id).Silent && h != nil && time.Since(h.lastSeen) < unresponsiveAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// insisted reports whether a server has spoken for longer than late words come at once.
-func (h *heard) insisted(now time.Time) bool {
-	if h.insists.IsZero() {
-		h.insists = now
+// reportsPersist reports whether a server has kept announcing itself for longer than a burst of
+// delayed announcements lasts.
+func (h *contact) reportsPersist(now time.Time) bool {
+	if h.contestedSince.IsZero() {
+		h.contestedSince = now
 	}
-	return now.Sub(h.insists) >= insistFor
+	return now.Sub(h.contestedSince) >= contestedConfirmTime
 }
 
-// differs reports whether a server's word on its residents has long enough been
-// another than what is agreed.
-func (c *Controller) differs(h *heard, a *wire.Announcement, view *state.State) bool {
+// residentsMismatch reports whether the residents that a server reports have differed from the
+// committed ones for long enough.
+func (c *Controller) residentsMismatch(h *contact, a *wire.Announcement, view *state.State) bool {
 	if view.Orders.HasOpen(a.Id) {
-		h.differs = time.Time{}
+		h.mismatchSince = time.Time{}
 		return false
 	}
-	if sameModels(a, view) || time.Since(h.ordered) < differFor {
-		h.differs = time.Time{}
+	if sameModels(a, view) || time.Since(h.lastOrderClosed) < mismatchConfirmTime {
+		h.mismatchSince = time.Time{}
 		return false
 	}
-	if h.differs.IsZero() {
-		h.differs = time.Now()
+	if h.mismatchSince.IsZero() {
+		h.mismatchSince = time.Now()
 	}
-	return time.Since(h.differs) >= differFor
+	return time.Since(h.mismatchSince) >= mismatchConfirmTime
 }
 
-// sameModels compares models only: adapters come and go faster than words.
+// sameModels compares models only, because adapters change faster than announcements arrive.
 func sameModels(a *wire.Announcement, view *state.State) bool {
-	said := map[string]bool{}
+	reported := map[string]bool{}
 	for _, item := range a.Residents {
 		if item.Adapter == "" {
-			said[item.Model] = true
+			reported[item.Model] = true
 		}
 	}
-	agreed := map[string]bool{}
+	committed := map[string]bool{}
 	for p := range view.Residents.ByServer(a.Id) {
 		if p.Adapter == "" {
-			agreed[p.Model] = true
+			committed[p.Model] = true
 		}
 	}
-	return maps.Equal(said, agreed)
+	return maps.Equal(reported, committed)
 }
 
-// Withdraw notes that a server says that it is gone.
+// Withdraw records a server's notice that it is terminating.
 func (c *Controller) Withdraw(ctx context.Context, w *wire.Withdraw) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
 	}
 	view := c.opts.Replica.View()
-	for _, id := range livesOf(view, cmp.Or(w.Name, w.Id)) {
+	for _, id := range incarnationsOf(view, cmp.Or(w.Name, w.Id)) {
 		a := view.Announcements.Get(id)
-		if a == nil || !meant(w, a) || a.Leaving {
+		if a == nil || !withdrawalMatches(w, a) || a.Leaving {
 			continue
 		}
 		if _, err := c.opts.Replica.Propose(ctx, &wire.Command{Kind: &wire.Command_Withdraw{Withdraw: &wire.Withdraw{Id: a.Id}}}); err != nil {
@@ -191,16 +193,16 @@
 	return nil
 }
 
-// meant reports whether a withdrawal is of a server's life.
-func meant(w *wire.Withdraw, a *wire.Announcement) bool {
+// withdrawalMatches reports whether a withdrawal refers to the incarnation of an announcement.
+func withdrawalMatches(w *wire.Withdraw, a *wire.Announcement) bool {
 	if w.Name == "" {
 		return a.Id == w.Id
 	}
 	return a.Name == w.Name && (w.BornMs == 0 || w.BornMs == a.BornMs)
 }
 
-// RecordNotice takes over what a box met while it served: models and adapters that
-// requests wait for, and servers that refuse connections.
+// RecordNotice records what a box observed while serving: models and adapters that requests wait
+// for, and servers that refuse connections.
 func (c *Controller) RecordNotice(ctx context.Context, f *wire.Forward) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
@@ -210,54 +212,54 @@
 		c.wanted[d.Model] = time.Now()
 	}
 	c.mu.Unlock()
-	c.noteRefusing(ctx, f)
+	c.noteConnectionFailures(ctx, f)
 	c.noteLimits(ctx, f.Limits)
-	c.noteRests(f, time.Now())
+	c.noteBackoffs(f, time.Now())
 	select {
-	case c.kick <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-// wants returns what is waited for now.
+// wants returns the models and adapters that requests currently wait for.
 func (c *Controller) wants() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := map[string]bool{}
+	current := map[string]bool{}
 	for name, at := range c.wanted {
-		if time.Since(at) > wantFor {
+		if time.Since(at) > wantTTL {
 			delete(c.wanted, name)
 			continue
 		}
-		now[name] = true
+		current[name] = true
 	}
-	return now
+	return current
 }
 
-// unheard reports whether an announced server must not be reckoned with.
-func (c *Controller) unheard(view *state.State, id string) bool {
+// unavailable reports whether placement must not count on an announced server.
+func (c *Controller) unavailable(view *state.State, id string) bool {
 	if a := view.Announcements.Get(id); a == nil || a.Silent || a.Leaving {
 		return true
 	}
 	return false
 }
 
-// expire notes which announced servers are silent, and forgets those that are
-// long gone.
-func (c *Controller) expire(ctx context.Context, view *state.State) {
-	if time.Since(c.expiredAt) < round {
+// expireServers marks announced servers as unresponsive and removes those that have been
+// unresponsive for long.
+func (c *Controller) expireServers(ctx context.Context, view *state.State) {
+	if time.Since(c.expiryCheckedAt) < stepInterval {
 		return
 	}
-	c.expiredAt = time.Now()
-	led := time.Since(c.ledSince)
+	c.expiryCheckedAt = time.Now()
+	leadingFor := time.Since(c.leadingSince)
 	for id, a := range view.Announcements.All() {
-		silence, silent := c.silent(id, led)
+		silence, unresponsive := c.unresponsive(id, leadingFor)
 		switch {
-		case silence > forgetAfter:
+		case silence > serverRemovalTimeout:
 			c.forgetServer(ctx, id, silence)
-		case silent && !a.Silent:
-			c.markSilent(ctx, id, zap.Duration("silence", silence))
+		case unresponsive && !a.Silent:
+			c.markUnresponsive(ctx, id, zap.Duration("silence", silence))
 		}
 	}
 }
@@ -267,30 +269,30 @@
 		return
 	}
 	c.mu.Lock()
-	delete(c.doubts, id)
+	delete(c.suspicions, id)
 	c.mu.Unlock()
 	event.ServerSilent.Log(c.opts.Log, zap.String("server", id), zap.Duration("silence", silence), zap.Bool("forgotten", true))
 }
 
-// silent reports whether a server was not heard for too long, and for how long.
-func (c *Controller) silent(id string, led time.Duration) (time.Duration, bool) {
+// unresponsive returns the time since a server was last seen and whether that is too long.
+func (c *Controller) unresponsive(id string, leadingFor time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
-	h := c.heard[id]
-	unheard := h == nil || h.at.IsZero()
+	h := c.contacts[id]
+	neverSeen := h == nil || h.lastSeen.IsZero()
 	c.mu.Unlock()
-	silence := c.silence(id, led)
-	if unheard {
-		return silence, silence > unheardAfter
+	silence := c.sinceLastSeen(id, leadingFor)
+	if neverSeen {
+		return silence, silence > neverSeenUnresponsiveAfter
 	}
-	return silence, silence > silentAfter
+	return silence, silence > unresponsiveAfter
 }
 
-// silence is how long a server was not heard, as far as this leader can know.
-func (c *Controller) silence(id string, led time.Duration) time.Duration {
+// sinceLastSeen returns how long ago a server was last seen, as far as this leader can know.
+func (c *Controller) sinceLastSeen(id string, leadingFor time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.heard[id]; h != nil && !h.at.IsZero() {
-		return min(led, time.Since(h.at))
+	if h := c.contacts[id]; h != nil && !h.lastSeen.IsZero() {
+		return min(leadingFor, time.Since(h.lastSeen))
 	}
-	return led
+	return leadingFor
 }
--- a/control/boxes.go
+++ b/control/boxes.go
@@ -13,13 +13,13 @@
 	"leverdrum/wire"
 )
 
-// repairVoters follows package membership.
+// repairVoters executes the plan of package membership.
 func (c *Controller) repairVoters() {
 	status := c.opts.Replica.Status()
 	if !status.Settled {
-		return // one change after the other
+		return // one change at a time
 	}
-	c.noteVoters(status.Voters)
+	c.logVoterChange(status.Voters)
 	in := membership.Input{
 		Self: c.opts.Replica.ID(), Voters: status.Voters, Wanted: c.opts.WantedVoters, RepairAfter: c.opts.RepairAfter,
 		Members: c.opts.Replica.View().Members, Silent: map[string]time.Duration{}, HoldsAll: status.Holding,
@@ -40,8 +40,8 @@
 	}
 }
 
-// noteVoters logs that a change has come to its end.
-func (c *Controller) noteVoters(voters []string) {
+// logVoterChange logs a completed change of the voters.
+func (c *Controller) logVoterChange(voters []string) {
 	if c.voters != nil && !slices.Equal(c.voters, voters) {
 		event.VotersChanged.Log(c.opts.Log, zap.Strings("voters", voters))
 	}
@@ -56,40 +56,40 @@
 	return ages
 }
 
-// forgetBoxes takes silent boxes off the list, but only while a majority of the
-// listed boxes is heard: else a cut-off leader could shrink the list until it
-// is the majority of what is left.
-func (c *Controller) forgetBoxes(ctx context.Context) {
-	if time.Since(c.ledSince) < forgetBox {
+// removeUnresponsiveBoxes removes unresponsive boxes from the list, but only while updates arrive
+// from a majority of the listed boxes. Otherwise a partitioned leader could shrink the list until
+// it is the majority of what is left.
+func (c *Controller) removeUnresponsiveBoxes(ctx context.Context) {
+	if time.Since(c.leadingSince) < boxRemovalTimeout {
 		return
 	}
 	ages := c.reportAges()
-	var silent []*wire.Member
+	var unresponsive []*wire.Member
 	for _, m := range c.opts.Replica.View().Members {
-		if age, ok := ages[state.MemberID(m)]; !ok || age > forgetBox/2 {
-			silent = append(silent, m)
+		if age, ok := ages[state.MemberID(m)]; !ok || age > boxRemovalTimeout/2 {
+			unresponsive = append(unresponsive, m)
 		}
 	}
-	if len(silent) == 0 || !c.opts.Spread.HearsMajority() {
+	if len(unresponsive) == 0 || !c.opts.Spread.HearsMajority() {
 		return
 	}
-	m := silent[0]
+	m := unresponsive[0]
 	cmd := &wire.Command{Kind: &wire.Command_Leave{Leave: &wire.Leave{Box: m.Box, Incarnation: m.Incarnation}}}
 	if _, err := c.propose(ctx, cmd); err == nil {
 		event.BoxForgotten.Log(c.opts.Log, zap.String("member", state.MemberID(m)))
 	}
 }
 
-// meetSilent calls on listed boxes that are silent: after a restart such a box may
-// know only boxes that have forgotten the cluster, too.
-func (c *Controller) meetSilent(ctx context.Context) {
-	if c.opts.OpenSession == nil || time.Since(c.metAt) < meetEvery {
+// contactUnresponsiveBoxes opens sessions to listed boxes that are unresponsive. After a restart
+// such a box may know only boxes that have forgotten the cluster, too.
+func (c *Controller) contactUnresponsiveBoxes(ctx context.Context) {
+	if c.opts.OpenSession == nil || time.Since(c.sessionsRetriedAt) < sessionRetryInterval {
 		return
 	}
-	c.metAt = time.Now()
+	c.sessionsRetriedAt = time.Now()
 	ages := c.reportAges()
 	for _, m := range c.opts.Replica.View().Members {
-		if age, ok := ages[state.MemberID(m)]; !ok || age > meetAfter {
+		if age, ok := ages[state.MemberID(m)]; !ok || age > sessionRetryAfter {
 			go c.opts.OpenSession(ctx, m.Box)
 		}
 	}
--- a/control/contested_test.go
+++ b/control/contested_test.go
@@ -10,9 +10,9 @@
 	"leverdrum/wire"
 )
 
-// A server's words that a cut held up came after it had crashed and another was running at
-// its address.
-func TestLateWordsDoNotBringAServerBackWhereAnotherRuns(t *testing.T) {
+// Announcements delayed by a network partition arrived after their server had crashed and another
+// server was running at its address.
+func TestDelayedAnnouncementsDoNotReviveReplacedServer(t *testing.T) {
 	g := NewWithT(t)
 	c := New(Options{})
 	view := state.New()
@@ -20,16 +20,16 @@
 	after := &wire.Announcement{Id: "after", Address: "10.0.0.1:1"}
 	view.Announcements.Set("before", before)
 	view.Announcements.Set("after", after)
-	c.heard["after"] = &heard{at: time.Now(), sequence: 1}
-	word := func(sequence uint64) bool {
-		news, _ := c.note(&wire.Announcement{Id: "before", Address: "10.0.0.1:1", Sequence: sequence}, before, view)
-		return news
+	c.contacts["after"] = &contact{lastSeen: time.Now(), sequence: 1}
+	announce := func(sequence uint64) bool {
+		changed, _ := c.noteAnnouncement(&wire.Announcement{Id: "before", Address: "10.0.0.1:1", Sequence: sequence}, before, view)
+		return changed
 	}
-	g.Expect(word(7)).To(BeFalse())
-	g.Expect(word(8)).To(BeFalse(), "more of what was held up")
-	c.heard["before"].insists = time.Now().Add(-insistFor)
-	g.Expect(word(9)).To(BeTrue(), "it speaks on: then the other has ended")
-	c.heard["before"].insists = time.Time{}
+	g.Expect(announce(7)).To(BeFalse())
+	g.Expect(announce(8)).To(BeFalse(), "another delayed announcement")
+	c.contacts["before"].contestedSince = time.Now().Add(-contestedConfirmTime)
+	g.Expect(announce(9)).To(BeTrue(), "it keeps announcing itself, so the other server has terminated")
+	c.contacts["before"].contestedSince = time.Time{}
 	after.Silent = true
-	g.Expect(word(10)).To(BeTrue(), "nobody else is there")
+	g.Expect(announce(10)).To(BeTrue(), "no other server is at the address")
 }
--- a/control/control.go
+++ b/control/control.go
@@ -1,25 +1,23 @@
-// Package control is what only the leading box does: it watches the model
-// servers, decides placement, gives orders, repairs the voters, and keeps the
-// list of boxes.
+// Package control implements the tasks that only the leading box performs: it monitors the model
+// servers, decides placement, issues orders, repairs the voters, and maintains the list of boxes.
 //
 // Rules for orders:
 //
-//  1. An order is agreed before it is sent, and sent only while the lease
-//     holds; the connection asks again right before the bytes leave.
-//  2. An order's id is its index in the log, so ids rise across leaders; it is
-//     the fence.
-//  3. To a server that checks fences an order without an answer is sent again
-//     under the same id. The server's answer closes it.
-//  4. To a server that does not, an order is sent once. Only the answer that a
-//     load was done closes it at once. Anything else stays open, and counted,
-//     until no order can arrive any more, and then the server's state, read
-//     after that, closes it.
-//  5. A new leader treats all open orders as sent and unanswered, and gives a server
-//     none within OrderPause of an earlier leader's (pause.go).
-//  6. To a server that counts orders an order names the count that the server
-//     had before it. It is sent again under the same count until there is an
-//     answer: of all its copies, late ones included, the server takes at most
-//     one. The server's report, with a higher count, closes it.
+//  1. An order is committed before it is sent, and sent only while the lease holds. The connection
+//     checks the lease again right before it writes the bytes.
+//  2. An order's id is its index in the log, so ids rise across leaders. The id is the fencing
+//     token.
+//  3. An order without an answer is retried under the same id if the server checks fences. The
+//     server's answer closes it.
+//  4. If the server does not check fences, an order is sent once. Only the answer that a load is
+//     done closes it at once. Otherwise it stays open, and counted, until no order can arrive any
+//     more. Then the server's state, read after that, closes it.
+//  5. A new leader treats all open orders as sent and unanswered, and gives a server no order
+//     within OrderPause of an earlier leader's (pause.go).
+//  6. An order to a server that counts orders names the count that the server had before it. It is
+//     retried under the same count until there is an answer: of all its copies, late ones
+//     included, the server accepts at most one. The server's report, with a higher count, closes
+//     it.
 package control
 
 import (
@@ -43,177 +41,179 @@
 )
 
 const (
-	// round is the time between two looks at everything.
-	round = 250 * time.Millisecond
-	// A round that something set off follows the one before by roundsShare times as
-	// long as that worked, within these bounds: each order and each request that waits
-	// sets one off.
-	roundsLeast = 5 * time.Millisecond
-	roundsMost  = 100 * time.Millisecond
-	roundsShare = 4
-	// stateTimeout bounds reading one server's state.
+	// stepInterval is the time between two periodic steps.
+	stepInterval = 250 * time.Millisecond
+	// A triggered step follows the previous one after stepPauseFactor times the time that the
+	// previous one worked, within these bounds. Each order and each waiting request triggers a
+	// step.
+	minStepPause    = 5 * time.Millisecond
+	maxStepPause    = 100 * time.Millisecond
+	stepPauseFactor = 4
+	// stateTimeout bounds reading the state of one server.
 	stateTimeout = time.Second
-	// orderTimeout bounds one sending of an order; loads take long.
+	// orderTimeout bounds one attempt of an order; loads take long.
 	orderTimeout = 2 * time.Minute
-	// proposeTimeout bounds waiting for agreement.
+	// proposeTimeout bounds waiting for a command to be committed.
 	proposeTimeout = 3 * time.Second
-	// downAfter is the silence after which a server counts as down.
+	// downAfter is the time without a state report after which a server counts as down.
 	downAfter = 3 * time.Second
-	// forgetBox is the silence after which a box is taken off the list, if a
-	// majority of all boxes is heard meanwhile.
-	forgetBox = time.Minute
-	// expectedFor is how long a new leader takes the fleet file's word for the
-	// demand of models that nobody asked for yet.
-	expectedFor = 30 * time.Second
-	// resendPause is the wait before an order is sent again (3).
-	resendPause = 500 * time.Millisecond
-	// meetEvery is the time between two calls on a silent box, meetAfter the silence
-	// before the first.
-	meetEvery = time.Second
-	meetAfter = 2500 * time.Millisecond
-	// storeBurst is how many loads may begin at once when none began lately.
+	// boxRemovalTimeout is the time without updates after which a box is removed from the list,
+	// provided that updates arrive from a majority of all boxes meanwhile.
+	boxRemovalTimeout = time.Minute
+	// expectedDemandTTL is how long a new leader uses the demand that the fleet file expects for
+	// models without requests so far.
+	expectedDemandTTL = 30 * time.Second
+	// orderRetryDelay is the wait before an order is retried (3).
+	orderRetryDelay = 500 * time.Millisecond
+	// sessionRetryInterval is the time between two attempts to contact unresponsive boxes,
+	// sessionRetryAfter the time without updates before the first.
+	sessionRetryInterval = time.Second
+	sessionRetryAfter    = 2500 * time.Millisecond
+	// storeBurst is how many loads may start at once when none started recently.
 	storeBurst = 3
 )
 
-// Options make a Controller.
+// Options configure a Controller.
 type Options struct {
 	Replica *replica.Replica
 	Spread  *spread.Spreader
 	Engines func(name, address string) engine.Server
-	// Counting speaks to servers that count orders; nil when there are none.
+	// Counting connects to servers that count orders; nil if there are none.
 	Counting engine.Counting
-	// InBackoff reports whether a server asked this box for a rest that lasts; nil: none does.
+	// InBackoff reports whether a server asked this box for a backoff that is still in effect; if
+	// nil, no server did.
 	InBackoff func(server string) bool
-	// Holder names this box in orders.
+	// Holder identifies this box in orders.
 	Holder string
-	// OrderPause is the least time between the orders of two leaders to a server (5).
+	// OrderPause is the minimum time between the orders of two leaders to a server (5).
 	OrderPause time.Duration
-	// DemandSettleTime is how long a new leader waits for demand to be reported.
+	// DemandSettleTime is how long a new leader waits for boxes to report demand.
 	DemandSettleTime time.Duration
 	// VotersNeedDisks keeps boxes without a disk from voting.
 	VotersNeedDisks bool
-	// NeverLeads: this box does not vote, so that there is nothing that it would have to know when it leads.
+	// NeverLeads is set if this box does not vote. It then keeps none of the state that a leader
+	// needs.
 	NeverLeads        bool
 	TerminatedServers func() map[string]bool
-	// OpenSession opens a session to a box; nil where boxes find the cluster by themselves.
+	// OpenSession opens a session to a box; nil if boxes find the cluster on their own.
 	OpenSession  func(ctx context.Context, box string)
-	WantedVoters int // voters
+	WantedVoters int
 	RepairAfter  time.Duration
-	// UpgradeSettleTime is how long all boxes know a level before it is raised to.
+	// UpgradeSettleTime is how long all boxes must support a level before the cluster is raised to
+	// it.
 	UpgradeSettleTime time.Duration
 	Records           *record.Book
 	Meters            *meter.Meters
 	Log               *zap.Logger
 }
 
-// Controller acts while its box leads.
+// Controller runs the leader's tasks while its box leads.
 type Controller struct {
 	opts Options
 
-	mu      sync.Mutex
-	reports map[string]report
-	reading map[string]bool
-	// quarantine holds since when this leader knows of a server's restart, by
-	// server and incarnation.
-	quarantine map[string]time.Time
-	sending    map[uint64]bool
-	short      map[string]string
-	voters     []string // settled, as this leader saw them last
-	leading    bool
-	term       uint64 // of the leadership
-	ledSince   time.Time
-	limiter    *rate.Limiter
+	mu              sync.Mutex
+	reports         map[string]report
+	readsInProgress map[string]bool
+	// quarantine holds when this leader learned of a server's restart, by server and incarnation.
+	quarantine       map[string]time.Time
+	ordersInProgress map[uint64]bool
+	shortages        map[string]string
+	voters           []string // last settled set that this leader saw
+	leading          bool
+	term             uint64 // in which the box leads
+	leadingSince     time.Time
+	limiter          *rate.Limiter
 
-	heard  map[string]*heard // announced servers, by id
-	counts map[string]uint64 // orders that servers have taken, where known (6)
-	doubts map[string]*doubt // of servers, see refusing.go
-	// limitedAt is when a server's limit was agreed last.
-	limitedAt map[string]time.Time
-	resting   map[string]map[string]time.Time // until when boxes count as told of a server's long rest, by server and box
-	ordered   map[string]ordered              // by server, see pause.go; nil before the first look
-	lacking   map[string]time.Time            // since when models have no copy, see patience.go
-	askedAt   map[string]time.Time            // when models were asked for last
-	anyAsked  bool                            // this leader has heard of a request for a model
-	wanted    map[string]time.Time            // models and adapters that requests wait for
-	steady    steady
-	kick      chan struct{}
-	metAt     time.Time     // when silent boxes were called on last
-	boxesAt   time.Time     // when the boxes were looked at last
-	expiredAt time.Time     // when silent servers were looked for last
-	watchedAt time.Time     // when orders were watched last
-	waited    time.Duration // for agreement, in the step under way
+	contacts    map[string]*contact   // announced servers, by id
+	orderCounts map[string]uint64     // orders accepted by servers, if known (6)
+	suspicions  map[string]*suspicion // of servers, see unreachable.go
+	// limitChangedAt is when a server's limit was last committed.
+	limitChangedAt    map[string]time.Time
+	backoffs          map[string]map[string]time.Time // expiry of boxes' reports of long backoffs, by server and box
+	lastOrders        map[string]lastOrder            // by server, see pause.go; nil before the first check
+	withoutCopySince  map[string]time.Time            // by model, see idle.go
+	lastRequested     map[string]time.Time            // by model
+	anyRequestSeen    bool                            // this leader has seen demand for a model
+	wanted            map[string]time.Time            // models and adapters that requests wait for
+	longTermRates     longTermRates
+	wake              chan struct{}
+	sessionsRetriedAt time.Time     // when unresponsive boxes were last contacted
+	boxesCheckedAt    time.Time     // when checkBoxes last ran
+	expiryCheckedAt   time.Time     // when expireServers last ran
+	ordersWatchedAt   time.Time     // when watchOrders last ran
+	proposeWait       time.Duration // time that the current step waited for commits
 
-	arrivals   arrivals               // orders that may still arrive at servers, see arrivals.go
-	lives      map[string]time.Time   // when this box first saw each life that began while an order was open
-	looked     bool                   // arrivals hold what earlier leaders may have sent
-	knownSince time.Time              // since when all listed boxes know the next level
-	loads      map[uint64]*openLoad   // by order, see loads.go
-	loaded     map[crasher.Print]bool // items that this leader saw loaded
-	suspects   map[crasher.Key]watched
-	suspectsAt time.Time // when they were looked at last
+	inFlight            inFlightOrders         // orders that may still arrive at servers, see inflight.go
+	incarnationSeenAt   map[string]time.Time   // when this box first saw each incarnation that started while an order was open
+	inFlightInitialized bool                   // inFlight contains what earlier leaders may have sent
+	levelKnownSince     time.Time              // when all listed boxes began to support the next level
+	openLoads           map[uint64]*openLoad   // by order, see loads.go
+	loadedItems         map[crasher.Print]bool // items that were loaded under this leader
+	suspects            map[crasher.Key]trackedSuspect
+	suspectsCheckedAt   time.Time // when releaseSuspects last ran
 }
 
 type report struct {
 	state *engine.State
-	began time.Time // when the reading began
+	began time.Time // start of the read
 }
 
-// New returns a controller; Run makes it work.
+// New returns a Controller. Run starts it.
 func New(opts Options) *Controller {
 	return &Controller{
-		opts: opts, reports: map[string]report{}, reading: map[string]bool{}, quarantine: map[string]time.Time{},
-		sending: map[uint64]bool{}, short: map[string]string{},
-		heard: map[string]*heard{}, lacking: map[string]time.Time{}, askedAt: map[string]time.Time{}, doubts: map[string]*doubt{}, limitedAt: map[string]time.Time{}, resting: map[string]map[string]time.Time{}, counts: map[string]uint64{}, wanted: map[string]time.Time{}, lives: map[string]time.Time{}, loads: map[uint64]*openLoad{}, loaded: map[crasher.Print]bool{}, kick: make(chan struct{}, 1),
+		opts: opts, reports: map[string]report{}, readsInProgress: map[string]bool{}, quarantine: map[string]time.Time{},
+		ordersInProgress: map[uint64]bool{}, shortages: map[string]string{},
+		contacts: map[string]*contact{}, withoutCopySince: map[string]time.Time{}, lastRequested: map[string]time.Time{}, suspicions: map[string]*suspicion{}, limitChangedAt: map[string]time.Time{}, backoffs: map[string]map[string]time.Time{}, orderCounts: map[string]uint64{}, wanted: map[string]time.Time{}, incarnationSeenAt: map[string]time.Time{}, openLoads: map[uint64]*openLoad{}, loadedItems: map[crasher.Print]bool{}, wake: make(chan struct{}, 1),
 	}
 }
 
-// Run acts whenever the box leads, until the context ends.
+// Run performs the leader's tasks whenever the box leads, until the context ends.
 func (c *Controller) Run(ctx context.Context) {
 	if c.opts.NeverLeads {
 		<-ctx.Done()
 		return
 	}
-	ticker := time.NewTicker(round)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		changed := c.opts.Replica.Changed()
 		began := time.Now()
-		c.waited = 0
+		c.proposeWait = 0
 		c.step(ctx)
-		wait.For(ctx, pauseAfter(time.Since(began)-c.waited))
+		wait.For(ctx, pauseAfter(time.Since(began)-c.proposeWait))
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		case <-changed:
-		case <-c.kick:
+		case <-c.wake:
 		}
 	}
 }
 
-// pauseAfter is the time to the next step behind one that worked for a time; what it waited
-// for others does not count.
+// pauseAfter returns the delay before the next step, given how long the previous one worked,
+// excluding its waits for commits.
 func pauseAfter(worked time.Duration) time.Duration {
-	return min(roundsMost, max(roundsLeast, roundsShare*worked))
+	return min(maxStepPause, max(minStepPause, stepPauseFactor*worked))
 }
 
 func (c *Controller) step(ctx context.Context) {
-	_, held := c.opts.Replica.Lease()
+	_, hasLease := c.opts.Replica.Lease()
 	status := c.opts.Replica.Status()
-	leads := held && status.Established
-	// A box that was frozen may lead again in another term without having seen
-	// that it did not lead between: it must forget what it knew then.
+	leads := hasLease && status.Established
+	// A box that was frozen may lead again in another term without having noticed that it did not
+	// lead in between. It must drop what it knew before.
 	if leads != c.leading || leads && status.Term != c.term {
 		c.term = status.Term
-		c.turn(leads)
+		c.setLeading(leads)
 	}
 	if !leads {
-		c.watchOrdersNow(c.opts.Replica.View(), round)
+		c.watchOrdersIfDue(c.opts.Replica.View(), stepInterval)
 		return
 	}
-	c.lookAtBoxes(ctx)
+	c.checkBoxes(ctx)
 	c.raiseLevel(ctx, time.Now())
-	c.expire(ctx, c.opts.Replica.View())
+	c.expireServers(ctx, c.opts.Replica.View())
 	c.releaseSuspects(ctx, c.opts.Replica.View(), time.Now())
 	c.watchLoads(ctx, c.opts.Replica.View(), time.Now())
 	view := c.opts.Replica.View()
@@ -222,73 +222,75 @@
 	}
 	c.readStates(ctx, view)
 	c.noteServers(ctx, c.opts.Replica.View())
-	// Again, with what was agreed meanwhile: it is decided on the newest state.
-	every := time.Duration(0)
-	if time.Since(c.ledSince) > c.opts.OrderPause { // only boxes that lead later need it
-		every = round
+	// Again, with what was committed meanwhile: decisions use the newest state.
+	watchInterval := time.Duration(0)
+	if time.Since(c.leadingSince) > c.opts.OrderPause { // only boxes that may lead later need it
+		watchInterval = stepInterval
 	}
-	c.watchOrdersNow(c.opts.Replica.View(), every)
+	c.watchOrdersIfDue(c.opts.Replica.View(), watchInterval)
 	c.decide(ctx, c.opts.Replica.View())
-	c.drive(ctx, c.opts.Replica.View())
+	c.driveOrders(ctx, c.opts.Replica.View())
 }
 
-// watchOrdersNow watches orders unless that was done lately. It goes over all servers; what it sees late counts as made
-// late, which only holds orders back for longer.
-func (c *Controller) watchOrdersNow(view *state.State, every time.Duration) {
+// watchOrdersIfDue calls watchOrders unless it was called recently. watchOrders iterates over all
+// servers. An order that is seen late counts as issued late, which only holds orders back for
+// longer.
+func (c *Controller) watchOrdersIfDue(view *state.State, interval time.Duration) {
 	now := time.Now()
-	if c.ordered != nil && now.Sub(c.watchedAt) < every {
+	if c.lastOrders != nil && now.Sub(c.ordersWatchedAt) < interval {
 		return
 	}
-	c.watchedAt = now
+	c.ordersWatchedAt = now
 	c.watchOrders(view, now)
 }
 
-// lookAtBoxes keeps voters and the list of boxes. That goes over all boxes, and what it sees
-// changes in seconds: it is not done for each order that sets off a step.
-func (c *Controller) lookAtBoxes(ctx context.Context) {
-	if time.Since(c.boxesAt) < round {
+// checkBoxes maintains the voters and the list of boxes. It iterates over all boxes, and what it
+// observes changes within seconds, so it does not run for each order that triggers a step.
+func (c *Controller) checkBoxes(ctx context.Context) {
+	if time.Since(c.boxesCheckedAt) < stepInterval {
 		return
 	}
-	c.boxesAt = time.Now()
+	c.boxesCheckedAt = time.Now()
 	c.repairVoters()
-	c.forgetBoxes(ctx)
-	c.meetSilent(ctx)
+	c.removeUnresponsiveBoxes(ctx)
+	c.contactUnresponsiveBoxes(ctx)
 }
 
-// turn notes that the box began or ceased to lead.
-func (c *Controller) turn(leads bool) {
+// setLeading records that the box started or stopped leading.
+func (c *Controller) setLeading(leads bool) {
 	c.leading = leads
 	value := 0.0
 	if leads {
 		value = 1
 		c.mu.Lock()
-		c.ledSince = time.Now()
+		c.leadingSince = time.Now()
 		c.reports = map[string]report{}
 		c.quarantine = map[string]time.Time{}
-		c.heard = map[string]*heard{}
-		c.doubts = map[string]*doubt{}
-		c.limitedAt = map[string]time.Time{}
-		c.resting = map[string]map[string]time.Time{}
-		c.anyAsked = false
-		c.lacking, c.askedAt = map[string]time.Time{}, map[string]time.Time{}
-		c.counts = map[string]uint64{}
+		c.contacts = map[string]*contact{}
+		c.suspicions = map[string]*suspicion{}
+		c.limitChangedAt = map[string]time.Time{}
+		c.backoffs = map[string]map[string]time.Time{}
+		c.anyRequestSeen = false
+		c.withoutCopySince, c.lastRequested = map[string]time.Time{}, map[string]time.Time{}
+		c.orderCounts = map[string]uint64{}
 		c.wanted = map[string]time.Time{}
-		c.loaded = map[crasher.Print]bool{}
-		c.looked = false
+		c.loadedItems = map[crasher.Print]bool{}
+		c.inFlightInitialized = false
 		c.mu.Unlock()
-		c.suspects, c.loads = nil, map[uint64]*openLoad{}
-		c.steady.forget()
+		c.suspects, c.openLoads = nil, map[uint64]*openLoad{}
+		c.longTermRates.reset()
 		c.opts.Meters.Count(meter.Elections).Inc()
 	}
 	c.opts.Meters.Gauge(meter.Leads).Set(value)
 	event.LeadershipChanged.Log(c.opts.Log, zap.Bool("leads", leads), zap.Uint64("term", c.opts.Replica.Status().Term))
 }
 
-// ledFor is how long the box has led, for goroutines other than the one that turns.
-func (c *Controller) ledFor() time.Duration {
+// leadingFor returns how long the box has led, for goroutines other than the one that calls
+// setLeading.
+func (c *Controller) leadingFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.ledSince)
+	return time.Since(c.leadingSince)
 }
 
 func (c *Controller) propose(ctx context.Context, cmd *wire.Command) (state.Result, error) {
@@ -297,20 +299,20 @@
 	return c.opts.Replica.Propose(ctx, cmd)
 }
 
-// drive sees to it that each open order comes to its end.
-func (c *Controller) drive(ctx context.Context, view *state.State) {
+// driveOrders starts a goroutine for each open order that has none.
+func (c *Controller) driveOrders(ctx context.Context, view *state.State) {
 	for id, o := range view.Orders.All() {
 		s := view.Server(o.Server)
-		if c.inherited(o) && time.Since(c.ledSince) < c.opts.OrderPause && !(s != nil && s.Kind.CountsOrders) { // (5)
+		if c.inherited(o) && time.Since(c.leadingSince) < c.opts.OrderPause && !(s != nil && s.Kind.CountsOrders) { // (5)
 			continue
 		}
 		c.mu.Lock()
-		busy := c.sending[id]
-		if !busy && s != nil {
-			c.sending[id] = true
+		inProgress := c.ordersInProgress[id]
+		if !inProgress && s != nil {
+			c.ordersInProgress[id] = true
 		}
 		c.mu.Unlock()
-		if busy || s == nil {
+		if inProgress || s == nil {
 			continue
 		}
 		go c.finish(ctx, o, s)
--- a/control/counted.go
+++ b/control/counted.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	// countedTimeout bounds one sending of a counted order, and one report.
+	// countedTimeout bounds one attempt of a counted order, and one report.
 	countedTimeout = time.Second
-	// adapterSettles is how long an adapter takes to come after its order was
-	// taken; requests that are too early are turned away and sent again.
-	adapterSettles = 15 * time.Millisecond
-	// reportPause is the time between two reports while an order is under way.
-	reportPause = 150 * time.Millisecond
-	// surprisesMost is how many reports in a row must name things that are not agreed
-	// before they are believed.
-	surprisesMost = 3
-	// countedResend is the wait before a counted order is sent again.
-	countedResend = 100 * time.Millisecond
+	// adapterSettleTime is how long an adapter takes to become resident after its order was
+	// accepted. Requests that come too early are rejected and retried.
+	adapterSettleTime = 15 * time.Millisecond
+	// reportInterval is the time between two reports while an order is in progress.
+	reportInterval = 150 * time.Millisecond
+	// maxMismatches is how many consecutive reports must name residents that are not committed
+	// before they are adopted.
+	maxMismatches = 3
+	// countedRetryDelay is the wait before a counted order is retried.
+	countedRetryDelay = 100 * time.Millisecond
 )
 
-// counted is one order to a server that counts orders (6).
-type counted struct {
+// countedDelivery is the delivery of one order to a server that counts orders (6).
+type countedDelivery struct {
 	c     *Controller
 	order *wire.Order
 	addr  string
-	// count is the server's count before this order; known tells whether it was
-	// read, and unsure that an earlier sending got no answer.
-	count  uint64
-	known  bool
-	unsure bool
-	// inherited tells that another leader sent it; surprises is how often in a row
-	// the server's report named things that are not agreed.
-	inherited bool
-	surprises int
-	// moved tells that the server's count is surely one more than before.
-	moved bool
+	// count is the server's count before this order; countKnown is whether it was read, and
+	// unconfirmed whether an earlier attempt got no answer.
+	count       uint64
+	countKnown  bool
+	unconfirmed bool
+	// inherited is whether another leader sent the order; mismatches is the number of consecutive
+	// reports that named residents that are not committed.
+	inherited  bool
+	mismatches int
+	// countAdvanced is whether the server's count has certainly increased by one.
+	countAdvanced bool
 }
 
-// finishCounted is rule 6.
+// finishCounted implements rule 6.
 func (c *Controller) finishCounted(ctx context.Context, o *wire.Order, s *fleet.Server) {
 	inherited := o.Term != c.opts.Replica.Status().Term
-	x := &counted{c: c, order: o, addr: s.Address, unsure: inherited, inherited: inherited}
-	if !x.unsure {
-		x.count, x.known = c.countOf(o.Server)
+	x := &countedDelivery{c: c, order: o, addr: s.Address, unconfirmed: inherited, inherited: inherited}
+	if !x.unconfirmed {
+		x.count, x.countKnown = c.orderCount(o.Server)
 	}
 	began := time.Now()
-	for c.mayGoOn(ctx, o) {
+	for c.canContinue(ctx, o) {
 		if out, done := x.step(ctx); done {
-			c.noteOrdered(x)
+			c.noteOrderClosed(x)
 			c.close(ctx, o, out)
 			event.OrderClosed.Log(c.opts.Log, zap.Uint64("id", o.Id), zap.Bool("done", out.Done), zap.String("detail", out.Detail), zap.Duration("took", time.Since(began)))
 			return
@@ -69,105 +69,107 @@
 	}
 }
 
-// countOf returns how many orders a server has taken, if that is known.
-func (c *Controller) countOf(server string) (uint64, bool) {
+// orderCount returns how many orders a server has accepted, if known.
+func (c *Controller) orderCount(server string) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, ok := c.counts[server]
+	n, ok := c.orderCounts[server]
 	return n, ok
 }
 
-// noteOrdered remembers a server's count behind an order, and when it was closed.
-func (c *Controller) noteOrdered(x *counted) {
+// noteOrderClosed records a server's count after an order, and when the order was closed.
+func (c *Controller) noteOrderClosed(x *countedDelivery) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	server := x.order.Server
-	delete(c.counts, server)
-	if x.moved {
-		c.counts[server] = x.count + 1
+	delete(c.orderCounts, server)
+	if x.countAdvanced {
+		c.orderCounts[server] = x.count + 1
 	}
-	if h := c.heard[server]; h != nil {
-		h.ordered = time.Now()
+	if h := c.contacts[server]; h != nil {
+		h.lastOrderClosed = time.Now()
 	}
 }
 
-// step does one exchange with the server.
-func (x *counted) step(ctx context.Context) (engine.Outcome, bool) {
-	if !x.known {
+// step performs one exchange with the server.
+func (x *countedDelivery) step(ctx context.Context) (engine.Outcome, bool) {
+	if !x.countKnown {
 		r, err := x.report(ctx)
 		if err != nil {
-			wait.For(ctx, countedResend)
+			wait.For(ctx, countedRetryDelay)
 			return engine.Outcome{}, false
 		}
 		switch {
 		case r.Busy:
-			wait.For(ctx, reportPause)
+			wait.For(ctx, reportInterval)
 			return engine.Outcome{}, false
-		case x.unsure && x.agrees(r):
-			return engine.Outcome{Done: true, Detail: "by the server's report"}, true
-		case x.inherited && x.c.ledFor() < x.c.opts.OrderPause:
-			// It may still arrive. Reading is no order: what was carried out meanwhile is
-			// known at once, and a copy that came is not left unused for the pause.
-			wait.For(ctx, reportPause)
+		case x.unconfirmed && x.matchesOrder(r):
+			return engine.Outcome{Done: true, Detail: "according to the server's report"}, true
+		case x.inherited && x.c.leadingFor() < x.c.opts.OrderPause:
+			// The order may still arrive. Reading a report is not an order: whatever the server
+			// executes meanwhile is known at once, and a copy that was loaded is not left unused
+			// during the pause.
+			wait.For(ctx, reportInterval)
 			return engine.Outcome{}, false
 		case x.inherited:
-			// What another box sent is not sent again under its fence. A copy that is
-			// late is met by the count: the next order conflicts, see surprised.
-			return engine.Outcome{Detail: "of another leader, not carried out by the server's report"}, true
-		case x.surprised(r):
-			// Reports lag: only what stays is believed.
-			if x.surprises++; x.surprises < surprisesMost {
-				wait.For(ctx, reportPause)
+			// An order that another box sent is not retried under that box's fence. The count
+			// detects a late copy of it: the next order conflicts, see hasUnexpectedResidents.
+			return engine.Outcome{Detail: "issued by another leader; not executed according to the server's report"}, true
+		case x.hasUnexpectedResidents(r):
+			// Reports lag, so only a persistent mismatch is adopted.
+			if x.mismatches++; x.mismatches < maxMismatches {
+				wait.For(ctx, reportInterval)
 				return engine.Outcome{}, false
 			}
-			x.c.believe(ctx, x.order, r)
-			return engine.Outcome{Detail: "the server holds other things than agreed"}, true
+			x.c.adoptReport(ctx, x.order, r)
+			return engine.Outcome{Detail: "the server has residents that are not committed"}, true
 		}
-		x.count, x.known = r.Count, true
+		x.count, x.countKnown = r.Count, true
 	}
-	answered := x.c.attempt(x.order)
-	verdict, err := x.give(ctx)
-	answered(mayArriveLate(err))
-	if errors.Is(err, engine.ErrResting) && !x.unsure {
-		return engine.Outcome{Detail: "the server rests; nothing was sent"}, true
+	endAttempt := x.c.beginAttempt(x.order)
+	verdict, err := x.deliver(ctx)
+	endAttempt(mayArriveLate(err))
+	if errors.Is(err, engine.ErrResting) && !x.unconfirmed {
+		return engine.Outcome{Detail: "the server is in backoff; the order was not sent"}, true
 	}
 	if errors.Is(err, engine.ErrResting) {
-		wait.For(ctx, countedResend)
+		wait.For(ctx, countedRetryDelay)
 		return engine.Outcome{}, false
 	}
 	if err != nil {
 		event.OrderUnanswered.Log(x.c.opts.Log, zap.Uint64("order", x.order.Id), zap.String("server", x.order.Server), event.Cause(err))
-		x.unsure = true
-		wait.For(ctx, countedResend)
+		x.unconfirmed = true
+		wait.For(ctx, countedRetryDelay)
 		return engine.Outcome{}, false
 	}
 	switch verdict {
 	case engine.Taken:
-		x.moved = true
+		x.countAdvanced = true
 		return x.await(ctx)
 	case engine.Holds:
-		x.moved = x.order.Item.Adapter != "" && x.order.Action == wire.OrderAction_ORDER_UNLOAD
+		x.countAdvanced = x.order.Item.Adapter != "" && x.order.Action == wire.OrderAction_ORDER_UNLOAD
 		return engine.Outcome{Done: true}, true
 	case engine.Conflict:
-		x.known = false
-		wait.For(ctx, countedResend)
+		x.countKnown = false
+		wait.For(ctx, countedRetryDelay)
 		return engine.Outcome{}, false
 	}
 	return engine.Outcome{Detail: string(verdict)}, true
 }
 
-// mayArriveLate reports whether an order may be carried out later for all that its attempt shows.
+// mayArriveLate reports whether an order may still be executed later, given the error of its
+// attempt.
 func mayArriveLate(err error) bool {
 	return err != nil && !errors.Is(err, engine.ErrResting) && !errors.Is(err, engine.ErrUnreached)
 }
 
-func (x *counted) report(ctx context.Context) (*engine.Report, error) {
+func (x *countedDelivery) report(ctx context.Context) (*engine.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, countedTimeout)
 	defer cancel()
 	return x.c.opts.Counting.Report(ctx, x.addr, x.order.ServerIncarnation)
 }
 
-func (x *counted) give(ctx context.Context) (engine.Verdict, error) {
+func (x *countedDelivery) deliver(ctx context.Context) (engine.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, countedTimeout)
 	defer cancel()
 	o := x.order
@@ -184,77 +186,75 @@
 	return v, err
 }
 
-// await returns once an order that was taken is done.
-func (x *counted) await(ctx context.Context) (engine.Outcome, bool) {
+// await returns once an accepted order is done.
+func (x *countedDelivery) await(ctx context.Context) (engine.Outcome, bool) {
 	load := x.order.Action == wire.OrderAction_ORDER_LOAD
 	if x.order.Item.Adapter != "" && load {
-		wait.For(ctx, adapterSettles)
+		wait.For(ctx, adapterSettleTime)
 		return engine.Outcome{Done: true}, true
 	}
-	wait.For(ctx, x.expected(load))
-	for x.c.mayGoOn(ctx, x.order) {
+	wait.For(ctx, x.minDuration(load))
+	for x.c.canContinue(ctx, x.order) {
 		r, err := x.report(ctx)
 		if err == nil && r.Count > x.count && !r.Busy {
-			return engine.Outcome{Done: x.agrees(r), Detail: "by the server's report"}, true
+			return engine.Outcome{Done: x.matchesOrder(r), Detail: "according to the server's report"}, true
 		}
-		wait.For(ctx, reportPause)
+		wait.For(ctx, reportInterval)
 	}
 	return engine.Outcome{}, false
 }
 
-// agrees reports whether things are as the order wants them.
-func (x *counted) agrees(r *engine.Report) bool {
+// matchesOrder reports whether the server's residents are in the state that the order asks for.
+func (x *countedDelivery) matchesOrder(r *engine.Report) bool {
 	_, adapter := fleet.SplitAdapter(x.order.Item.Adapter)
-	held := r.Holding[[2]string{x.order.Item.Model, adapter}]
-	return held == (x.order.Action == wire.OrderAction_ORDER_LOAD)
+	loaded := r.Holding[[2]string{x.order.Item.Model, adapter}]
+	return loaded == (x.order.Action == wire.OrderAction_ORDER_LOAD)
 }
 
-// surprised reports whether the server holds models or adapters that are not
-// agreed: then an order of an earlier time was carried out late, and this one may
-// not fit any more.
-func (x *counted) surprised(r *engine.Report) bool {
+// hasUnexpectedResidents reports whether the server has models or adapters that are not committed.
+// Then an earlier order was executed late, and this one may not fit into memory any more.
+func (x *countedDelivery) hasUnexpectedResidents(r *engine.Report) bool {
 	view := x.c.opts.Replica.View()
-	for held := range r.Holding {
-		place := ledger.Location{Server: x.order.Server, Model: held[0], Version: x.order.Item.Version}
-		if held[1] != "" {
-			place.Adapter = fleet.AdapterName(held[0], held[1])
+	for resident := range r.Holding {
+		location := ledger.Location{Server: x.order.Server, Model: resident[0], Version: x.order.Item.Version}
+		if resident[1] != "" {
+			location.Adapter = fleet.AdapterName(resident[0], resident[1])
 		}
-		if view.Residents.Get(place) == nil {
+		if view.Residents.Get(location) == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// believe has the server's report agreed in place of what was.
-func (c *Controller) believe(ctx context.Context, o *wire.Order, r *engine.Report) {
+// adoptReport commits the residents in the server's report in place of the recorded ones.
+func (c *Controller) adoptReport(ctx context.Context, o *wire.Order, r *engine.Report) {
 	a := c.opts.Replica.View().Announcements.Get(o.Server)
 	if a == nil {
 		return
 	}
 	next := proto.CloneOf(a)
 	next.TakeResidents = true
-	for held := range r.Holding {
-		item := &wire.Item{Model: held[0], Version: o.Item.Version}
-		if held[1] != "" {
-			item.Adapter = fleet.AdapterName(held[0], held[1])
+	for resident := range r.Holding {
+		item := &wire.Item{Model: resident[0], Version: o.Item.Version}
+		if resident[1] != "" {
+			item.Adapter = fleet.AdapterName(resident[0], resident[1])
 		}
 		next.Residents = append(next.Residents, item)
 	}
-	// The order itself is closed first: residents are taken over only while none is
-	// open.
-	c.close(ctx, o, engine.Outcome{Detail: "the server holds other things than agreed"})
+	// The order is closed first: residents are adopted only while none is open.
+	c.close(ctx, o, engine.Outcome{Detail: "the server has residents that are not committed"})
 	if _, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Announce{Announce: next}}); err == nil {
-		event.ServerAnnounced.Log(c.opts.Log, zap.String("server", a.Id), zap.String("why", "its report"))
+		event.ServerAnnounced.Log(c.opts.Log, zap.String("server", a.Id), zap.String("why", "residents reported by the server"))
 	}
 }
 
-// expected is how long the order takes at least, by the fleet's figures.
-func (x *counted) expected(load bool) time.Duration {
+// minDuration returns the minimum time that the order takes, according to the fleet file.
+func (x *countedDelivery) minDuration(load bool) time.Duration {
 	view := x.c.opts.Replica.View()
 	m := view.Fleet.Models[x.order.Item.Model]
 	if m == nil || !load || x.order.Item.Adapter != "" {
-		return reportPause
+		return reportInterval
 	}
 	if fromStore(view, x.order) {
 		return m.LoadTime
@@ -262,7 +262,7 @@
 	return m.WarmTime
 }
 
-// fromStore reports whether an order is a load that the weight store must serve.
+// fromStore reports whether an order is a load that reads from the weight store.
 func fromStore(view *state.State, o *wire.Order) bool {
 	if o.Action != wire.OrderAction_ORDER_LOAD {
 		return false
--- a/control/crashes.go
+++ b/control/crashes.go
@@ -13,23 +13,23 @@
 	"leverdrum/wire"
 )
 
-// suspectsEvery is the time between two looks at who is let go.
-const suspectsEvery = 5 * time.Second
+// suspectCheckInterval is the time between two checks for suspects to release.
+const suspectCheckInterval = 5 * time.Second
 
-// watched is a suspect as this leader saw it first.
-type watched struct {
-	index uint64 // of its newest change
+// trackedSuspect records when this leader first saw a suspect in its current state.
+type trackedSuspect struct {
+	index uint64 // of its last change
 	since time.Time
 }
 
-// RecordCrashes has what a box tells of requests under which servers ended agreed. The error is ErrNotLeader where
-// the box does not lead.
+// RecordCrashes commits a box's report of requests during which servers terminated. The error is
+// ErrNotLeader if the box does not lead.
 func (c *Controller) RecordCrashes(ctx context.Context, r *wire.CrashReport) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
 	}
 	view := c.opts.Replica.View()
-	r = news(r, view)
+	r = relevantCrashes(r, view)
 	if r == nil {
 		return nil
 	}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// news returns the part of a report that may change something, nil where nothing does.
-func news(r *wire.CrashReport, view *state.State) *wire.CrashReport {
+// relevantCrashes returns the part of a report that may change something, or nil if nothing does.
+func relevantCrashes(r *wire.CrashReport, view *state.State) *wire.CrashReport {
 	out := &wire.CrashReport{Box: r.GetBox()}
 	for _, s := range r.GetSigns() {
 		if p, ok := crasher.ParsePrint(s.Print); ok && !view.Crashers.Holds(p, s.Version) {
@@ -68,42 +68,42 @@
 }
 
 func logSuspect(e *event.Event, log *zap.Logger, s *wire.Suspect) {
-	p, _ := crasher.ParsePrint(s.Print) // the agreed table takes no others
+	p, _ := crasher.ParsePrint(s.Print) // the committed table accepts no invalid ones
 	e.Log(log, zap.Stringer("print", p), zap.String("version", s.Version), zap.Strings("servers", s.Servers), zap.Uint32("holds", s.Holds), zap.Duration("for", crasher.Lasts(s)))
 }
 
-// releaseSuspects has suspects let go whose time is over, as far as this leader has seen it pass.
+// releaseSuspects releases suspects whose time has expired, as far as this leader has seen it pass.
 func (c *Controller) releaseSuspects(ctx context.Context, view *state.State, now time.Time) {
-	if now.Sub(c.suspectsAt) < suspectsEvery {
+	if now.Sub(c.suspectsCheckedAt) < suspectCheckInterval {
 		return
 	}
-	c.suspectsAt = now
-	due := c.dueSuspects(view, now)
-	if len(due) == 0 {
+	c.suspectsCheckedAt = now
+	expired := c.expiredSuspects(view, now)
+	if len(expired) == 0 {
 		return
 	}
-	result, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Release{Release: &wire.ReleaseSuspects{Suspects: due}}})
+	result, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Release{Release: &wire.ReleaseSuspects{Suspects: expired}}})
 	if err != nil {
-		return // looked at again
+		return // retried at the next check
 	}
 	for _, s := range result.Released {
 		logSuspect(event.CrasherReleased, c.opts.Log, s)
 	}
 }
 
-// dueSuspects returns those that have stayed as they are for their time.
-func (c *Controller) dueSuspects(view *state.State, now time.Time) (due []*wire.Suspect) {
-	seen := map[crasher.Key]watched{}
+// expiredSuspects returns the suspects that have not changed for their whole duration.
+func (c *Controller) expiredSuspects(view *state.State, now time.Time) (expired []*wire.Suspect) {
+	seen := map[crasher.Key]trackedSuspect{}
 	for key, s := range view.Crashers.Suspects {
 		w, ok := c.suspects[key]
 		if !ok || w.index != s.Index {
-			w = watched{s.Index, now}
+			w = trackedSuspect{s.Index, now}
 		}
 		seen[key] = w
 		if now.Sub(w.since) >= crasher.Lasts(s) {
-			due = append(due, &wire.Suspect{Print: s.Print, Version: s.Version, Index: s.Index})
+			expired = append(expired, &wire.Suspect{Print: s.Print, Version: s.Version, Index: s.Index})
 		}
 	}
 	c.suspects = seen
-	return due
+	return expired
 }
--- a/control/decide.go
+++ b/control/decide.go
@@ -16,60 +16,60 @@
 	"leverdrum/wire"
 )
 
-func (c *Controller) down(view *state.State) map[string]bool {
+func (c *Controller) downServers(view *state.State) map[string]bool {
 	down := map[string]bool{}
-	gone := c.opts.TerminatedServers()
+	terminated := c.opts.TerminatedServers()
 	for _, s := range view.AllServers() {
 		name := s.Name
 		if s.Pool != "" {
-			down[name] = c.unheard(view, name)
+			down[name] = c.unavailable(view, name)
 			continue
 		}
-		if c.rests(name) { // it is not read either
+		if c.inBackoff(name) { // its state is not read either
 			continue
 		}
 		r, ok := c.report(name)
-		if gone[name] || ok && time.Since(r.began) > downAfter || !ok && time.Since(c.ledSince) > downAfter {
+		if terminated[name] || ok && time.Since(r.began) > downAfter || !ok && time.Since(c.leadingSince) > downAfter {
 			down[name] = true
 		}
 	}
 	return down
 }
 
-// demand returns what each model was asked for lately; before anything was seen,
-// what the fleet file expects.
+// demand returns the recent demand for each model. Until demand is observed, it returns what the
+// fleet file expects.
 func (c *Controller) demand(view *state.State) map[string]placement.Demand {
 	demand := map[string]placement.Demand{}
 	for model, d := range c.opts.Spread.Demand() {
 		demand[model] = placement.Demand{Requests: float64(d.MilliRequests) / 1000, BusySlots: float64(d.MilliPlaces) / 1000, PrefillLoad: float64(d.MilliReading) / 1000}
 	}
-	c.steady.note(demand, time.Now())
+	c.longTermRates.update(demand, time.Now())
 	for name, m := range view.Fleet.Models {
-		if _, seen := demand[name]; !seen && m.Expected > 0 && time.Since(c.ledSince) < expectedFor {
+		if _, seen := demand[name]; !seen && m.Expected > 0 && time.Since(c.leadingSince) < expectedDemandTTL {
 			demand[name] = placement.Demand{Requests: m.Expected}
 		}
 	}
 	return demand
 }
 
-// decide issues what placement asks for, at the rate of the weight store.
+// decide issues the orders that placement decides on, within the rate of the weight store.
 func (c *Controller) decide(ctx context.Context, view *state.State) {
 	in := placement.Input{
-		State: view, Demand: c.demand(view), Down: c.down(view), NoOrders: c.held(view, time.Now()),
-		InBackoff: c.restingServers(view, time.Now()), Awaited: c.wants(), LeaderFor: time.Since(c.ledSince), DemandSettleTime: c.opts.DemandSettleTime,
+		State: view, Demand: c.demand(view), Down: c.downServers(view), NoOrders: c.heldServers(view, time.Now()),
+		InBackoff: c.serversInBackoff(view, time.Now()), Awaited: c.wants(), LeaderFor: time.Since(c.leadingSince), DemandSettleTime: c.opts.DemandSettleTime,
 	}
-	c.weighModels(&in, time.Now())
+	c.classifyModels(&in, time.Now())
 	plan := placement.Decide(in)
 	c.noteShortages(plan.Shortages)
 	c.issue(ctx, view, plan.Decisions)
 }
 
-// issue has orders agreed, all at once, but for loads that the weight store must wait with.
+// issue commits orders in one batch, except loads that must wait for the weight store.
 func (c *Controller) issue(ctx context.Context, view *state.State, decisions []placement.Decision) {
 	var list []placement.Decision
 	var commands []*wire.Command
 	for _, d := range decisions {
-		if heldLoad(view, d.Order) || fromStore(view, d.Order) && !c.allowLoad(view.Fleet) {
+		if loadBlocked(view, d.Order) || fromStore(view, d.Order) && !c.allowLoad(view.Fleet) {
 			continue
 		}
 		list = append(list, d)
@@ -79,7 +79,7 @@
 	defer cancel()
 	began := time.Now()
 	outcomes := c.opts.Replica.ProposeAll(ctx, commands)
-	c.waited += time.Since(began)
+	c.proposeWait += time.Since(began)
 	for i, o := range outcomes {
 		if o.Err != nil {
 			o.Result.Err = o.Err
@@ -108,14 +108,14 @@
 	next := map[string]string{}
 	for _, s := range list {
 		next[s.Model] = s.Reason
-		if c.short[s.Model] == "" {
+		if c.shortages[s.Model] == "" {
 			c.opts.Records.Note(record.Model, s.Model, "not placed", s.Reason)
 		}
 	}
-	c.short = next
+	c.shortages = next
 }
 
-// allowLoad keeps loads to the rate of the weight store.
+// allowLoad limits loads to the rate of the weight store.
 func (c *Controller) allowLoad(f *fleet.Fleet) bool {
 	limit := rate.Limit(f.LoadsPerSecond)
 	if c.limiter == nil {
--- a/control/evacuate.go
+++ b/control/evacuate.go
@@ -12,10 +12,11 @@
 	"leverdrum/wire"
 )
 
-// ErrLevelTooLow: some box's build does not know what was asked for yet.
-var ErrLevelTooLow = errors.New("not all boxes know this call yet")
+// ErrLevelTooLow is returned if the build of some box does not support the call yet.
+var ErrLevelTooLow = errors.New("not all boxes support this call yet")
 
-// Evacuate has agreed that nothing goes to the servers of a data hall, or that this ends. It may be repeated.
+// Evacuate commits that nothing is sent to the servers of a data hall, or that this ends. It may be
+// repeated.
 func (c *Controller) Evacuate(ctx context.Context, e *wire.EvacuateHall) error {
 	if !c.leads() {
 		return replica.ErrNotLeader
--- a/control/levels.go
+++ b/control/levels.go
@@ -14,61 +14,63 @@
 	"leverdrum/wire"
 )
 
-// raiseLevel is rule 3 of package level. Only the goroutine that decides calls it.
+// raiseLevel implements rule 3 of package level. Only the goroutine that runs the steps calls it.
 func (c *Controller) raiseLevel(ctx context.Context, now time.Time) {
 	view := c.opts.Replica.View()
-	next, known := c.nextLevel(view)
-	if !known {
-		c.knownSince = time.Time{}
+	next, supported := c.nextLevel(view)
+	if !supported {
+		c.levelKnownSince = time.Time{}
 		return
 	}
-	if c.knownSince.IsZero() {
-		c.knownSince = now
+	if c.levelKnownSince.IsZero() {
+		c.levelKnownSince = now
 	}
-	if view.Version != nil && now.Sub(c.knownSince) < c.opts.UpgradeSettleTime {
+	if view.Version != nil && now.Sub(c.levelKnownSince) < c.opts.UpgradeSettleTime {
 		return
 	}
 	began := time.Now()
 	c.raiseTo(ctx, next)
-	c.waited += time.Since(began)
+	c.proposeWait += time.Since(began)
 }
 
-// RaiseInitialLevel raises the level as far as all boxes know levels where no file was ever in force, so that the first one is read as
-// this build reads it and nothing waits for an upgrade to settle.
+// RaiseInitialLevel raises the level as far as all boxes support it if no fleet file was ever
+// applied. The first file is then interpreted as this build does, and nothing waits for an upgrade
+// to settle.
 func (c *Controller) RaiseInitialLevel(ctx context.Context) {
 	c.awaitVotersListed(ctx)
 	for ctx.Err() == nil {
 		view := c.opts.Replica.View()
-		next, known := c.nextLevel(view)
-		if !known || view.Version != nil {
+		next, supported := c.nextLevel(view)
+		if !supported || view.Version != nil {
 			return
 		}
 		c.raiseTo(ctx, next)
 		if c.opts.Replica.View().Level < next {
-			return // met again at the next step
+			return // retried in the next step
 		}
 	}
 }
 
 const (
-	// listedWithin is how long the first file waits until the voters are listed. It may come within moments of the
-	// start of all boxes; taken before anything is known of their builds, it would keep the cluster below what they all
-	// know for as long as an upgrade settles.
-	listedWithin = 1500 * time.Millisecond
-	// listedLook is the time between two looks.
-	listedLook = 20 * time.Millisecond
+	// votersListedTimeout is how long the first fleet file waits until the voters are listed. It
+	// may arrive within moments of the start of all boxes. If it were accepted before their builds
+	// are known, the cluster would stay below the level that all support for as long as an upgrade
+	// settles.
+	votersListedTimeout = 1500 * time.Millisecond
+	// votersListedPoll is the interval of the checks.
+	votersListedPoll = 20 * time.Millisecond
 )
 
 func (c *Controller) awaitVotersListed(ctx context.Context) {
-	for began := time.Now(); time.Since(began) < listedWithin; {
+	for began := time.Now(); time.Since(began) < votersListedTimeout; {
 		view := c.opts.Replica.View()
-		if view.Version != nil || votersListed(view, c.opts.Replica.Status().Voters) || !wait.For(ctx, listedLook) {
+		if view.Version != nil || votersListed(view, c.opts.Replica.Status().Voters) || !wait.For(ctx, votersListedPoll) {
 			return
 		}
 	}
 }
 
-// votersListed reports whether all voters are on the agreed list as they run.
+// votersListed reports whether all voters are on the committed list with their current incarnation.
 func votersListed(view *state.State, voters []string) bool {
 	for _, id := range voters {
 		if m := view.Members[wire.BoxOf(id)]; m == nil || state.MemberID(m) != id {
@@ -78,13 +80,14 @@
 	return len(view.Members) > 0
 }
 
-// nextLevel returns the level behind the one in force, where all boxes know it.
+// nextLevel returns the level after the current one and whether all boxes support it.
 func (c *Controller) nextLevel(view *state.State) (level.Level, bool) {
 	next := view.Level + 1
-	return next, next <= level.Newest && allKnow(view, c.opts.Replica.Status().Voters, next)
+	return next, next <= level.Newest && allSupport(view, c.opts.Replica.Status().Voters, next)
 }
 
-// raiseTo has a level agreed. Twice the same changes nothing, and an error is met again at the next step.
+// raiseTo commits a level. Committing the same level twice changes nothing, and an error is retried
+// in the next step.
 func (c *Controller) raiseTo(ctx context.Context, next level.Level) {
 	raise := &wire.Command{Kind: &wire.Command_Raise{Raise: &wire.RaiseLevel{Level: uint32(next)}}}
 	if _, err := c.propose(ctx, raise); err == nil {
@@ -92,8 +95,8 @@
 	}
 }
 
-// allKnow reports whether all listed boxes, and all that vote, run builds that know a level.
-func allKnow(view *state.State, voters []string, l level.Level) bool {
+// allSupport reports whether the builds of all listed boxes and of all voters support a level.
+func allSupport(view *state.State, voters []string, l level.Level) bool {
 	if !votersListed(view, voters) {
 		return false
 	}
--- a/control/levels_test.go
+++ b/control/levels_test.go
@@ -12,8 +12,8 @@
 	"leverdrum/wire"
 )
 
-func TestALevelWaitsForAllListedBoxesAndVoters(t *testing.T) {
-	knows := func(box string, l level.Level) *wire.Member {
+func TestLevelRequiresAllListedBoxesAndVoters(t *testing.T) {
+	memberAt := func(box string, l level.Level) *wire.Member {
 		return &wire.Member{Box: box, Incarnation: "i", Level: uint32(l)}
 	}
 	for _, c := range []struct {
@@ -22,23 +22,24 @@
 		voters  []string
 		want    bool
 	}{
-		{"all know it", []*wire.Member{knows("a", 1), knows("b", 1)}, []string{"a/i"}, true},
-		{"one box does not", []*wire.Member{knows("a", 1), knows("b", 0)}, []string{"a/i"}, false},
-		{"a voter is not listed", []*wire.Member{knows("a", 1)}, []string{"a/i", "b/i"}, false},
-		{"a voter is listed under another incarnation", []*wire.Member{knows("a", 1)}, []string{"a/j"}, false},
-		{"nobody is listed", nil, nil, false},
+		{"all support it", []*wire.Member{memberAt("a", 1), memberAt("b", 1)}, []string{"a/i"}, true},
+		{"one box does not", []*wire.Member{memberAt("a", 1), memberAt("b", 0)}, []string{"a/i"}, false},
+		{"a voter is not listed", []*wire.Member{memberAt("a", 1)}, []string{"a/i", "b/i"}, false},
+		{"a voter is listed under another incarnation", []*wire.Member{memberAt("a", 1)}, []string{"a/j"}, false},
+		{"no box is listed", nil, nil, false},
 	} {
 		view := state.New()
 		for _, m := range c.members {
 			view.Members[m.Box] = m
 		}
-		NewWithT(t).Expect(allKnow(view, c.voters, level.Workspaces)).To(Equal(c.want), c.name)
+		NewWithT(t).Expect(allSupport(view, c.voters, level.Workspaces)).To(Equal(c.want), c.name)
 	}
 }
 
-// A new cluster, whose boxes knew two levels more than the one in force, had the first raised with its first file and waited for
-// the second as long as an upgrade settles, though there was nothing to bring back.
-func TestTheFirstFileRaisesToTheNewestLevel(t *testing.T) {
+// In a new cluster whose boxes supported two levels above the current one, the first file raised
+// only one level. The second waited as long as an upgrade settles, although there was no earlier
+// version to return to.
+func TestFirstFileRaisesToNewestLevel(t *testing.T) {
 	g := NewWithT(t)
 	c := newLeader(t)
 	member := &wire.Member{Box: "b", Incarnation: "i", Process: "p", Level: uint32(level.Newest)}
@@ -48,9 +49,10 @@
 	g.Expect(c.opts.Replica.View().Level).To(Equal(level.Newest))
 }
 
-// A first file that came before the boxes were listed, as it does within moments of a start beside other work, kept the cluster
-// at level 0 for ten minutes: what servers name was not agreed (two of six runs of the box's test beside five others).
-func TestTheFirstFileWaitsForTheList(t *testing.T) {
+// A first file that arrived before the boxes were listed, as it does within moments of a start on a
+// loaded machine, kept the cluster at level 0 for ten minutes, and server limits were not
+// committed. It failed two of six runs of the box test when five other tests ran at the same time.
+func TestFirstFileWaitsForVoterList(t *testing.T) {
 	g := NewWithT(t)
 	c := newUnlistedLeader(t)
 	time.AfterFunc(300*time.Millisecond, func() {
--- a/control/limits.go
+++ b/control/limits.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// limitEvery is the least time between two changes of one server's limit, so that one that names another in each
-	// answer costs two entries a second at the most.
-	limitEvery = 500 * time.Millisecond
-	// limitsKept bounds the servers whose last change is remembered.
-	limitsKept = 4096
+	// minLimitInterval is the minimum time between two changes of one server's limit. A server that
+	// names a different limit in each answer then costs at most two log entries a second.
+	minLimitInterval = 500 * time.Millisecond
+	// maxTrackedLimits bounds the servers whose last change is remembered.
+	maxTrackedLimits = 4096
 )
 
-// noteLimits has agreed what a box was told of servers' limits. What is passed over is told again with the next
-// answer that differs from what is agreed.
-func (c *Controller) noteLimits(ctx context.Context, told []*wire.ServerLimit) {
-	for _, l := range told {
-		if !c.newLimit(c.opts.Replica.View(), l, time.Now()) {
+// noteLimits commits the server limits that a box reports. A limit that is skipped is reported
+// again with the next answer that differs from the committed one.
+func (c *Controller) noteLimits(ctx context.Context, reports []*wire.ServerLimit) {
+	for _, l := range reports {
+		if !c.acceptLimitChange(c.opts.Replica.View(), l, time.Now()) {
 			continue
 		}
 		limit := &wire.ServerLimit{Server: l.Server, Milli: l.Milli}
 		if _, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Limit{Limit: limit}}); err != nil {
-			continue // told again
+			continue // reported again
 		}
 		event.LimitAgreed.Log(c.opts.Log, zap.String("server", l.Server), zap.Float64("limit", dialect.Limit(l.Milli).PerSecond()))
 	}
 }
 
-// newLimit reports whether a server's limit is to be agreed anew.
-func (c *Controller) newLimit(view *state.State, l *wire.ServerLimit, now time.Time) bool {
+// acceptLimitChange reports whether a server's limit must be committed again.
+func (c *Controller) acceptLimitChange(view *state.State, l *wire.ServerLimit, now time.Time) bool {
 	if view.Level < level.ServerLimits || !view.KnowsServer(l.Server) || dialect.Limit(l.Milli) == view.LimitOf(l.Server) {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.limitedAt[l.Server]) < limitEvery {
+	if now.Sub(c.limitChangedAt[l.Server]) < minLimitInterval {
 		return false
 	}
-	if len(c.limitedAt) >= limitsKept {
-		clear(c.limitedAt)
+	if len(c.limitChangedAt) >= maxTrackedLimits {
+		clear(c.limitChangedAt)
 	}
-	c.limitedAt[l.Server] = now
+	c.limitChangedAt[l.Server] = now
 	return true
 }
--- a/control/loads.go
+++ b/control/loads.go
@@ -14,36 +14,39 @@
 	"leverdrum/wire"
 )
 
-// Rules for loads under which servers end (package crasher):
+// Rules for loads during which servers terminate (package crasher):
 //
-//  1. A load that is open when its server ends is a sign against its item, like a request that was there; a strong one
-//     where another life, or another server, has its address, a weak one where it only fell silent.
-//  2. An item that is ready on some server, or that this leader saw loaded, is no crasher.
-//  3. What is held is not ordered to servers of that version. Requests for it are refused as for any model
-//     that is nowhere and does not come.
+//  1. A load that is open when its server terminates is evidence against its item, like a request
+//     in progress there. The evidence is strong if another incarnation, or another server, has the
+//     server's address, and weak if the server is only unresponsive.
+//  2. An item that is ready on some server, or that was loaded under this leader, is not a
+//     crasher.
+//  3. A blocked item is not loaded on servers of that version. Requests for it are refused as for
+//     any model that is not resident and not loading anywhere.
 
-// openLoad is an open load as this leader saw it first.
+// openLoad is an open load as this leader first saw it.
 type openLoad struct {
-	order   *wire.Order
-	version string
-	since   time.Time
-	told    bool // its server ended
+	order    *wire.Order
+	version  string
+	since    time.Time
+	reported bool // its server terminated
 }
 
-// printOfLoad stands for a load of an item, on whatever server.
-func printOfLoad(i *wire.Item) crasher.Print {
+// loadFingerprint returns the fingerprint of a load of an item, independent of the server.
+func loadFingerprint(i *wire.Item) crasher.Print {
 	return crasher.Of(crasher.Content{Method: "load", Target: i.Model + "@" + i.Version, Model: i.Adapter})
 }
 
-// heldLoad is rule 3.
-func heldLoad(view *state.State, o *wire.Order) bool {
+// loadBlocked implements rule 3.
+func loadBlocked(view *state.State, o *wire.Order) bool {
 	return o.Action == wire.OrderAction_ORDER_LOAD && view.Crashers.AnyHeld() &&
-		view.Crashers.Holds(printOfLoad(o.Item), view.Announcements.Get(o.Server).GetVersion())
+		view.Crashers.Holds(loadFingerprint(o.Item), view.Announcements.Get(o.Server).GetVersion())
 }
 
-// watchLoads has loads told whose servers ended (1), and suspects that were loaded after all (2).
+// watchLoads reports loads whose servers terminated (1), and suspects that were loaded after all
+// (2).
 func (c *Controller) watchLoads(ctx context.Context, view *state.State, now time.Time) {
-	r := c.loadSigns(view, now)
+	r := c.loadCrashSigns(view, now)
 	for key, s := range view.Crashers.Suspects {
 		if !s.Served && c.wasLoaded(key.Print) {
 			r.Served = append(r.Served, &wire.ServedSuspect{Print: s.Print, Version: s.Version})
@@ -54,42 +57,43 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	_ = c.RecordCrashes(ctx, r) // a sign that is lost comes again with the next server that ends
+	_ = c.RecordCrashes(ctx, r) // lost evidence comes again with the next server that terminates
 }
 
-// loadSigns returns the signs that have come since the last look.
-func (c *Controller) loadSigns(view *state.State, now time.Time) *wire.CrashReport {
+// loadCrashSigns returns the crash evidence since the last call.
+func (c *Controller) loadCrashSigns(view *state.State, now time.Time) *wire.CrashReport {
 	for id, o := range view.Orders.All() {
-		if _, known := c.loads[id]; !known && o.Action == wire.OrderAction_ORDER_LOAD {
-			c.loads[id] = &openLoad{order: o, version: view.Announcements.Get(o.Server).GetVersion(), since: now}
+		if _, known := c.openLoads[id]; !known && o.Action == wire.OrderAction_ORDER_LOAD {
+			c.openLoads[id] = &openLoad{order: o, version: view.Announcements.Get(o.Server).GetVersion(), since: now}
 		}
 	}
 	r := &wire.CrashReport{}
-	for id, l := range c.loads {
-		if ended, weak := endedUnder(view, l.order); ended && !l.told {
-			l.told = true
-			if !c.ready(view, l.order.Item) {
-				r.Signs = append(r.Signs, l.sign(weak, now))
+	for id, l := range c.openLoads {
+		if ended, weak := serverEnded(view, l.order); ended && !l.reported {
+			l.reported = true
+			if !c.itemReady(view, l.order.Item) {
+				r.Signs = append(r.Signs, l.crashSign(weak, now))
 				event.CrashSeen.Log(c.opts.Log, zap.String("server", l.order.Server), zap.String("load", ledger.Describe(l.order.Item)),
-					zap.Strings("prints", []string{printOfLoad(l.order.Item).String()}), zap.Bool("weak", weak))
+					zap.Strings("prints", []string{loadFingerprint(l.order.Item).String()}), zap.Bool("weak", weak))
 			}
 		}
 		if view.Orders.Get(id) == nil {
-			delete(c.loads, id)
+			delete(c.openLoads, id)
 		}
 	}
 	return r
 }
 
-func (l *openLoad) sign(weak bool, now time.Time) *wire.CrashSign {
-	p := printOfLoad(l.order.Item)
+func (l *openLoad) crashSign(weak bool, now time.Time) *wire.CrashSign {
+	p := loadFingerprint(l.order.Item)
 	return &wire.CrashSign{Print: p[:], Server: l.order.Server, Version: l.version, Weak: weak, SentAgoMs: uint32(now.Sub(l.since).Milliseconds())}
 }
 
-// endedUnder reports whether an order's server has ended, and whether that is only its silence's word.
-func endedUnder(view *state.State, o *wire.Order) (ended, weak bool) {
+// serverEnded reports whether an order's server has terminated, and whether the only evidence is
+// that it is unresponsive.
+func serverEnded(view *state.State, o *wire.Order) (ended, weak bool) {
 	if s := view.Servers.Get(o.Server); s != nil && view.Announcements.Get(o.Server) == nil {
-		return s.Incarnation != o.ServerIncarnation, false // one that tells its state when asked
+		return s.Incarnation != o.ServerIncarnation, false // a server whose state is polled
 	}
 	a := view.Announcements.Get(o.Server)
 	if a == nil {
@@ -106,9 +110,9 @@
 	return true, true
 }
 
-// ready is rule 2.
-func (c *Controller) ready(view *state.State, i *wire.Item) bool {
-	if c.wasLoaded(printOfLoad(i)) {
+// itemReady implements rule 2.
+func (c *Controller) itemReady(view *state.State, i *wire.Item) bool {
+	if c.wasLoaded(loadFingerprint(i)) {
 		return true
 	}
 	for _, r := range view.Residents.ByItem(i.Model, i.Adapter) {
@@ -119,18 +123,18 @@
 	return false
 }
 
-// noteLoaded remembers an item that was loaded. Items are bounded by the fleet file.
+// noteLoaded remembers an item that was loaded. The fleet file bounds the number of items.
 func (c *Controller) noteLoaded(o *wire.Order) {
 	if o.Action != wire.OrderAction_ORDER_LOAD {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.loaded[printOfLoad(o.Item)] = true
+	c.loadedItems[loadFingerprint(o.Item)] = true
 }
 
 func (c *Controller) wasLoaded(p crasher.Print) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.loaded[p]
+	return c.loadedItems[p]
 }
--- a/control/notice_test.go
+++ b/control/notice_test.go
@@ -18,18 +18,18 @@
 	"leverdrum/wire"
 )
 
-// formed is a storage that begins with a cluster of one.
-type formed struct{ replica.Memory }
+// singleVoterStorage is a storage that starts with a cluster of one.
+type singleVoterStorage struct{ replica.Memory }
 
-func (formed) Loaded() wal.Loaded {
+func (singleVoterStorage) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"b/i"}}}}
 }
 
-// newUnlistedLeader returns a controller whose box leads a cluster of one, and is not listed yet.
+// newUnlistedLeader returns a controller whose box leads a cluster of one and is not listed yet.
 func newUnlistedLeader(t *testing.T) *Controller {
 	r, err := replica.New(replica.Options{
 		Core:    consensus.Options{ID: "b/i", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
-		Storage: formed{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(err error) { t.Error(err) }, Log: zap.NewNop(),
+		Storage: singleVoterStorage{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(err error) { t.Error(err) }, Log: zap.NewNop(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	return c
 }
 
-// newLeader returns one whose box is listed, with a server that announced itself.
+// newLeader returns a controller whose box is listed, with a server that announced itself.
 func newLeader(t *testing.T) *Controller {
 	c := newUnlistedLeader(t)
 	g := NewWithT(t)
@@ -57,59 +57,60 @@
 	return c
 }
 
-// Notices come on the goroutines of other boxes' calls, while the leader's own turns.
-func TestNoticesComeWhileLeadershipTurns(t *testing.T) {
+// Notices arrive on the goroutines of other boxes' calls while the leadership changes.
+func TestNoticesDuringLeadershipChange(t *testing.T) {
 	c := newLeader(t)
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for range 50 {
-			c.turn(true)
+			c.setLeading(true)
 		}
 	})
 	wg.Go(func() {
 		for range 50 {
-			_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Unreached: []string{"s"}}) // the race is what counts
+			_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Unreached: []string{"s"}}) // the test is about the race
 		}
 	})
 	wg.Wait()
 }
 
-// One crash was agreed seven times over.
-func TestACrashIsAgreedOnce(t *testing.T) {
+// One crash was committed seven times.
+func TestCrashIsCommittedOnce(t *testing.T) {
 	g := NewWithT(t)
 	c := newLeader(t)
 	lines, logged := observer.New(zap.InfoLevel)
 	c.opts.Log = zap.New(lines)
 	crash := func() {
-		_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Refusing: []string{"s"}}) // seen in the state
+		_ = c.RecordNotice(context.Background(), &wire.Forward{Box: "b", Refusing: []string{"s"}}) // the result shows in the state
 	}
-	silent := func() bool { return c.opts.Replica.View().Announcements.Get("s").Silent }
+	unresponsive := func() bool { return c.opts.Replica.View().Announcements.Get("s").Silent }
 	var wg sync.WaitGroup
 	for range 20 {
 		wg.Go(crash)
 	}
 	wg.Wait()
-	g.Eventually(func() bool { crash(); return silent() }, 10*time.Second).Should(BeTrue())
+	g.Eventually(func() bool { crash(); return unresponsive() }, 10*time.Second).Should(BeTrue())
 	g.Expect(logged.FilterMessage(event.ServerSilent.Title).Len()).To(Equal(1))
 }
 
-// The same without the luck of 20 words at once.
-func TestADoubtIsActedOnOnce(t *testing.T) {
+// The same deterministically, without relying on 20 concurrent reports.
+func TestSuspicionIsActedOnOnce(t *testing.T) {
 	g := NewWithT(t)
 	c := newLeader(t)
 	now := time.Now()
-	g.Expect(c.doubted("s", "b", 1, true, now)).To(BeTrue())
-	g.Expect(c.doubted("s", "b", 1, true, now)).To(BeFalse())
-	g.Expect(c.doubted("s", "other", 1, true, now)).To(BeFalse())
+	g.Expect(c.noteSuspicion("s", "b", 1, true, now)).To(BeTrue())
+	g.Expect(c.noteSuspicion("s", "b", 1, true, now)).To(BeFalse())
+	g.Expect(c.noteSuspicion("s", "other", 1, true, now)).To(BeFalse())
 }
 
-// A lease that had lapsed for a moment, 1 of 15 runs under load: the word was used up.
-func TestADoubtThatWasNotAgreedStands(t *testing.T) {
+// When the lease lapsed for a moment, as in 1 of 15 runs under load, the report was used up without
+// effect.
+func TestUncommittedSuspicionIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	c := newLeader(t)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	g.Expect(c.doubted("s", "b", 1, true, time.Now())).To(BeTrue())
-	c.markSilent(ended, "s", zap.Skip())
-	g.Expect(c.doubted("s", "b", 1, true, time.Now())).To(BeTrue())
+	g.Expect(c.noteSuspicion("s", "b", 1, true, time.Now())).To(BeTrue())
+	c.markUnresponsive(ended, "s", zap.Skip())
+	g.Expect(c.noteSuspicion("s", "b", 1, true, time.Now())).To(BeTrue())
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -22,15 +22,15 @@
 	return engine.Unload
 }
 
-// finish sends an order and closes it once its outcome is known. It gives up
-// when the box does not lead any more; the next leader goes on (5).
+// finish sends an order and closes it once its outcome is known. It stops if the box does not lead
+// any more; the next leader continues (5).
 func (c *Controller) finish(ctx context.Context, o *wire.Order, s *fleet.Server) {
 	defer func() {
 		c.mu.Lock()
-		delete(c.sending, o.Id)
+		delete(c.ordersInProgress, o.Id)
 		c.mu.Unlock()
 	}()
-	mine := o.Term == c.opts.Replica.Status().Term
+	issuedHere := o.Term == c.opts.Replica.Status().Term
 	if s.Kind.CountsOrders {
 		c.finishCounted(ctx, o, s)
 		return
@@ -39,24 +39,24 @@
 		c.finishFenced(ctx, o, s)
 		return
 	}
-	c.finishUnfenced(ctx, o, s, mine)
+	c.finishUnfenced(ctx, o, s, issuedHere)
 }
 
-// finishFenced is rule 3.
+// finishFenced implements rule 3.
 func (c *Controller) finishFenced(ctx context.Context, o *wire.Order, s *fleet.Server) {
-	for c.mayGoOn(ctx, o) {
+	for c.canContinue(ctx, o) {
 		out, err := c.send(ctx, o, s)
 		if err == nil {
 			c.close(ctx, o, out)
 			return
 		}
-		wait.For(ctx, resendPause)
+		wait.For(ctx, orderRetryDelay)
 	}
 }
 
-// finishUnfenced is rule 4.
-func (c *Controller) finishUnfenced(ctx context.Context, o *wire.Order, s *fleet.Server, mine bool) {
-	if mine {
+// finishUnfenced implements rule 4.
+func (c *Controller) finishUnfenced(ctx context.Context, o *wire.Order, s *fleet.Server, issuedHere bool) {
+	if issuedHere {
 		out, err := c.send(ctx, o, s)
 		if err == nil && ClosesImmediately(o, out) {
 			c.close(ctx, o, out)
@@ -66,11 +66,11 @@
 			event.OrderUnanswered.Log(c.opts.Log, zap.Uint64("order", o.Id), zap.String("server", o.Server), event.Cause(err))
 		}
 	}
-	latest := time.Now().Add(s.Kind.OrderLate)
-	for c.mayGoOn(ctx, o) {
-		wait.For(ctx, round)
+	lastArrival := time.Now().Add(s.Kind.OrderLate)
+	for c.canContinue(ctx, o) {
+		wait.For(ctx, stepInterval)
 		r, ok := c.report(o.Server)
-		if !ok || r.began.Before(latest) {
+		if !ok || r.began.Before(lastArrival) {
 			continue
 		}
 		if out, settled := OutcomeFromState(o, r.state); settled {
@@ -80,39 +80,39 @@
 	}
 }
 
-// ClosesImmediately reports whether the answer of a server that does not check
-// fences closes an order. Only a load that was done does: after anything else a
-// load that is still on its way could arrive and would not be counted (4).
+// ClosesImmediately reports whether the answer of a server that does not check fences closes an
+// order. Only a completed load does. After any other answer, a load that is still in flight could
+// arrive and would not be counted (4).
 func ClosesImmediately(o *wire.Order, out engine.Outcome) bool {
 	return o.Action == wire.OrderAction_ORDER_LOAD && out.Done
 }
 
-// OutcomeFromState says what became of an order by the server's state, which must have
-// been read after the order could not arrive any more. It is not settled while
-// the server is still loading.
+// OutcomeFromState derives the outcome of an order from the server's state, which must have been
+// read after the order could not arrive any more. The outcome is not settled while the server is
+// still loading.
 func OutcomeFromState(o *wire.Order, st *engine.State) (out engine.Outcome, settled bool) {
-	if loading(st, o) {
+	if isLoading(st, o) {
 		return engine.Outcome{}, false
 	}
-	done := holds(st, o) == (o.Action == wire.OrderAction_ORDER_LOAD)
-	return engine.Outcome{Done: done, Detail: "by the server's state"}, true
+	done := isResident(st, o) == (o.Action == wire.OrderAction_ORDER_LOAD)
+	return engine.Outcome{Done: done, Detail: "according to the server's state"}, true
 }
 
-// mayGoOn reports whether the box still leads and the order is still open.
-func (c *Controller) mayGoOn(ctx context.Context, o *wire.Order) bool {
-	_, held := c.opts.Replica.Lease()
-	return ctx.Err() == nil && held && c.opts.Replica.View().Orders.Get(o.Id) != nil
+// canContinue reports whether the box still leads and the order is still open.
+func (c *Controller) canContinue(ctx context.Context, o *wire.Order) bool {
+	_, hasLease := c.opts.Replica.Lease()
+	return ctx.Err() == nil && hasLease && c.opts.Replica.View().Orders.Get(o.Id) != nil
 }
 
 func (c *Controller) send(ctx context.Context, o *wire.Order, s *fleet.Server) (engine.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	answered := c.attempt(o)
+	endAttempt := c.beginAttempt(o)
 	out, err := c.opts.Engines(s.Name, s.Address).Order(ctx, &engine.Order{
 		ID: o.Id, Incarnation: o.ServerIncarnation, Action: actionName(o.Action), Accelerator: o.Accelerator,
 		Model: o.Item.Model, Adapter: o.Item.Adapter, Version: o.Item.Version, Memory: o.Memory,
 	})
-	answered(mayArriveLate(err))
+	endAttempt(mayArriveLate(err))
 	c.opts.Meters.Count(meter.Orders, actionName(o.Action), outcomeName(out, err)).Inc()
 	return out, err
 }
@@ -134,32 +134,32 @@
 		c.noteLoaded(o)
 	}
 	cmd := &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: o.Id, Outcome: outcome, Detail: out.Detail}}}
-	for c.mayGoOn(ctx, o) {
+	for c.canContinue(ctx, o) {
 		if _, err := c.propose(ctx, cmd); err == nil {
 			return
 		}
-		wait.For(ctx, resendPause)
+		wait.For(ctx, orderRetryDelay)
 	}
 }
 
-func holds(st *engine.State, o *wire.Order) bool {
+func isResident(st *engine.State, o *wire.Order) bool {
 	for _, r := range st.Residents {
-		if !r.Loading && placeOf(o.Server, r) == ledger.OrderLocation(o) {
+		if !r.Loading && locationOf(o.Server, r) == ledger.OrderLocation(o) {
 			return true
 		}
 	}
 	return false
 }
 
-func loading(st *engine.State, o *wire.Order) bool {
+func isLoading(st *engine.State, o *wire.Order) bool {
 	for _, r := range st.Residents {
-		if r.Loading && placeOf(o.Server, r) == ledger.OrderLocation(o) {
+		if r.Loading && locationOf(o.Server, r) == ledger.OrderLocation(o) {
 			return true
 		}
 	}
 	return false
 }
 
-func placeOf(server string, r engine.Resident) ledger.Location {
+func locationOf(server string, r engine.Resident) ledger.Location {
 	return ledger.Location{Server: server, Accelerator: r.Accelerator, Model: r.Model, Adapter: r.Adapter, Version: r.Version}
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -30,25 +30,25 @@
 	orderLate = 10 * time.Second
 )
 
-// fake is a model server that keeps its own account.
-type fake struct {
-	name        string
-	fences      bool
-	incarnation int
-	down        bool
-	residents   map[ledger.Location]uint64
-	fence       uint64
-	outcomes    map[uint64]engine.Outcome
+// fakeServer is a model server that tracks its own residents.
+type fakeServer struct {
+	name         string
+	checksFences bool
+	incarnation  int
+	down         bool
+	residents    map[ledger.Location]uint64
+	fence        uint64
+	outcomes     map[uint64]engine.Outcome
 }
 
-func (f *fake) id() string { return fmt.Sprint("i", f.incarnation) }
+func (f *fakeServer) id() string { return fmt.Sprint("i", f.incarnation) }
 
-func (f *fake) restart() {
+func (f *fakeServer) restart() {
 	f.incarnation++
 	f.residents, f.outcomes, f.fence = map[ledger.Location]uint64{}, map[uint64]engine.Outcome{}, 0
 }
 
-func (f *fake) report() *engine.State {
+func (f *fakeServer) report() *engine.State {
 	st := &engine.State{Incarnation: f.id()}
 	for p, m := range f.residents {
 		st.Residents = append(st.Residents, engine.Resident{Accelerator: p.Accelerator, Model: p.Model, Adapter: p.Adapter, Version: p.Version, Memory: m})
@@ -56,9 +56,9 @@
 	return st
 }
 
-// run carries out an order as it arrives.
-func (f *fake) run(o *wire.Order) engine.Outcome {
-	if f.fences {
+// run executes an order on its arrival.
+func (f *fakeServer) run(o *wire.Order) engine.Outcome {
+	if f.checksFences {
 		if out, seen := f.outcomes[o.Id]; seen {
 			return out
 		}
@@ -67,20 +67,20 @@
 		}
 		f.fence = o.Id
 	}
-	place := ledger.OrderLocation(o)
+	location := ledger.OrderLocation(o)
 	out := engine.Outcome{Done: true}
 	if o.Action == wire.OrderAction_ORDER_LOAD {
-		f.residents[place] = o.Memory
+		f.residents[location] = o.Memory
 	} else {
-		_, out.Done = f.residents[place]
-		delete(f.residents, place)
+		_, out.Done = f.residents[location]
+		delete(f.residents, location)
 	}
 	f.outcomes[o.Id] = out
 	return out
 }
 
-// flight is an order on its way.
-type flight struct {
+// inFlightOrder is an order that was sent and has not arrived.
+type inFlightOrder struct {
 	order *wire.Order
 	sent  time.Duration
 }
@@ -91,31 +91,30 @@
 	began time.Duration
 }
 
-// world is the agreed state, the servers, the orders on their way, and the
-// leader of the moment.
-type world struct {
-	t        *rapid.T
-	now      time.Duration
-	st       *state.State
-	servers  map[string]*fake
-	flights  []flight
-	doubled  []flight // second arrivals, which come much later
-	term     uint64
-	ledSince time.Duration
-	sent     map[uint64]time.Duration // by this leader
-	answers  map[uint64]engine.Outcome
-	reports  map[string]readState
-	// quarantine is since when this leader knows of a restart.
+// simulation holds the committed state, the servers, the orders in flight, and the current leader.
+type simulation struct {
+	t            *rapid.T
+	now          time.Duration
+	st           *state.State
+	servers      map[string]*fakeServer
+	inFlight     []inFlightOrder
+	duplicates   []inFlightOrder // second copies, which arrive much later
+	term         uint64
+	leadingSince time.Duration
+	sent         map[uint64]time.Duration // sent by this leader
+	answers      map[uint64]engine.Outcome
+	reports      map[string]readState
+	// quarantine holds since when this leader knows of a restart.
 	quarantine map[string]time.Duration
 	number     uint64
 	issued     int
-	ran        int
+	executed   int
 }
 
 const servers = 5
 
-// file returns a fleet file; models change versions and come and go with it.
-func file(number uint64) string {
+// fleetFile returns a fleet file; models change versions, appear and disappear with its number.
+func fleetFile(number uint64) string {
 	text := "[fleet]\nnumber = 1\nloads-at-once = 4\n[hall a]\n[hall b]\n[class c]\ndeadline = 10s\n" +
 		"[kind fenced]\nmemory = 10GiB\nchecks-fences = true\nconcurrency = 4\n[kind plain]\nmemory = 10GiB\norder-late = 10s\nconcurrency = 4\n"
 	for i := range servers {
@@ -123,7 +122,7 @@
 	}
 	for i := range 5 {
 		if uint64(i) == number%7 {
-			continue // this file lacks one
+			continue // this file has no such model
 		}
 		text += fmt.Sprintf("[model m%d]\nversion = %d\nmemory = %dGiB\nclass = c\ncopies = %d\n", i, number/uint64(i+2), 2+i%3, 1+i%2)
 		text += fmt.Sprintf("[adapter x%d]\nmodel = m%d\nversion = %d\nmemory = 500MiB\n", i, i, number/uint64(i+3))
@@ -131,11 +130,11 @@
 	return text
 }
 
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	st := state.New()
-	w := &world{t: t, st: st, servers: map[string]*fake{}}
+	w := &simulation{t: t, st: st, servers: map[string]*fakeServer{}}
 	for i := range servers {
-		f := &fake{name: fmt.Sprint("s", i), fences: i%2 == 1}
+		f := &fakeServer{name: fmt.Sprint("s", i), checksFences: i%2 == 1}
 		f.restart()
 		w.servers[f.name] = f
 	}
@@ -144,25 +143,25 @@
 	return w
 }
 
-func (w *world) apply() {
+func (w *simulation) apply() {
 	w.number++
-	if r := standin.Apply(w.st, file(w.number), w.number); r.Apply != state.Accepted {
+	if r := standin.Apply(w.st, fleetFile(w.number), w.number); r.Apply != state.Accepted {
 		w.t.Fatalf("file %d: %s %v", w.number, r.Apply, r.Err)
 	}
 }
 
-// elect makes another box the leader. Orders that the old one wrote are on
-// their way; all others it can write no more.
-func (w *world) elect() {
+// elect makes another box the leader. Orders that the old one sent are in flight; it can send no
+// others.
+func (w *simulation) elect() {
 	w.term++
-	w.ledSince = w.now
+	w.leadingSince = w.now
 	w.sent, w.answers, w.reports = map[uint64]time.Duration{}, map[uint64]engine.Outcome{}, map[string]readState{}
 	w.quarantine = map[string]time.Duration{}
 }
 
-func (w *world) agree(c *wire.Command) state.Result { return standin.Agree(w.st, c) }
+func (w *simulation) commit(c *wire.Command) state.Result { return standin.Agree(w.st, c) }
 
-func (w *world) down() map[string]bool {
+func (w *simulation) down() map[string]bool {
 	down := map[string]bool{}
 	for name, f := range w.servers {
 		if f.down {
@@ -172,9 +171,8 @@
 	return down
 }
 
-// read lets the leader read a server's state, and put changes into the agreed
-// state, as Controller.noteServers does.
-func (w *world) read(f *fake) {
+// read lets the leader read a server's state and commit changes, as Controller.noteServers does.
+func (w *simulation) read(f *fakeServer) {
 	if f.down {
 		return
 	}
@@ -201,10 +199,10 @@
 			Item: &wire.Item{Model: p.Model, Adapter: p.Adapter, Version: p.Version},
 		})
 	}
-	w.agree(&wire.Command{Kind: &wire.Command_Server{Server: seen}})
+	w.commit(&wire.Command{Kind: &wire.Command_Server{Server: seen}})
 }
 
-func (w *world) decide() {
+func (w *simulation) decide() {
 	demand := map[string]placement.Demand{}
 	for i := range 5 {
 		demand[fmt.Sprint("m", i)] = placement.Demand{Requests: 10, BusySlots: float64(rapid.IntRange(0, 12).Draw(w.t, "places"))}
@@ -215,9 +213,9 @@
 	}
 }
 
-// whim issues an order that no plan asked for, as a box might that decided on
-// an old state: the ledger alone must hold.
-func (w *world) whim() {
+// issueRandomLoad issues an order that no plan asked for, as a box might that decided on an old
+// state: the ledger alone must hold.
+func (w *simulation) issueRandomLoad() {
 	f := w.pick("server")
 	n := rapid.IntRange(0, 4).Draw(w.t, "model")
 	item := &wire.Item{Model: fmt.Sprint("m", n), Version: fmt.Sprint(rapid.IntRange(0, 2).Draw(w.t, "version"))}
@@ -228,39 +226,39 @@
 	w.issue(&wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: f.name, ServerIncarnation: w.st.Servers.Get(f.name).GetIncarnation(), Item: item, Memory: memory})
 }
 
-// whimAway orders something away that may well be needed.
-func (w *world) whimAway() {
+// issueRandomUnload unloads a resident that may well be needed.
+func (w *simulation) issueRandomUnload() {
 	var keys []string
-	places := map[string]*wire.Resident{}
+	residents := map[string]*wire.Resident{}
 	for p, r := range w.st.Residents.All() {
 		k := fmt.Sprint(p)
-		keys, places[k] = append(keys, k), r
+		keys, residents[k] = append(keys, k), r
 	}
 	if len(keys) == 0 {
 		return
 	}
 	slices.Sort(keys)
-	r := places[rapid.SampledFrom(keys).Draw(w.t, "away")]
+	r := residents[rapid.SampledFrom(keys).Draw(w.t, "away")]
 	w.issue(&wire.Order{Action: wire.OrderAction_ORDER_UNLOAD, Server: r.Server, ServerIncarnation: w.st.Servers.Get(r.Server).GetIncarnation(), Item: r.Item})
 }
 
-func (w *world) issue(o *wire.Order) {
-	r := w.agree(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: o}}})
+func (w *simulation) issue(o *wire.Order) {
+	r := w.commit(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: o}}})
 	if r.Err == nil {
 		r.Order.Term = w.term
 		w.issued++
 	}
 }
 
-// drive does for each open order what Controller.finish does.
-func (w *world) drive() {
+// driveOrders does for each open order what Controller.finish does.
+func (w *simulation) driveOrders() {
 	for id, o := range w.st.Clone().Orders.All() {
 		f := w.servers[o.Server]
-		if out, answered := w.answers[id]; answered && (f.fences || control.ClosesImmediately(o, out)) {
+		if out, answered := w.answers[id]; answered && (f.checksFences || control.ClosesImmediately(o, out)) {
 			w.close(id, out)
 			continue
 		}
-		if f.fences {
+		if f.checksFences {
 			if at, sent := w.sent[id]; !sent || w.now-at > 3*time.Second {
 				w.send(o)
 			}
@@ -270,14 +268,14 @@
 	}
 }
 
-func (w *world) driveUnfenced(o *wire.Order) {
+func (w *simulation) driveUnfenced(o *wire.Order) {
 	_, sent := w.sent[o.Id]
 	if o.Term == w.term && !sent {
 		w.send(o)
 		return
 	}
-	// A leader counts from its own sending, or from its election.
-	latest := w.ledSince + orderLate
+	// A leader counts from its own attempt, or from its election.
+	latest := w.leadingSince + orderLate
 	if sent {
 		latest = w.sent[o.Id] + orderLate
 	}
@@ -288,48 +286,48 @@
 	}
 }
 
-func (w *world) send(o *wire.Order) {
+func (w *simulation) send(o *wire.Order) {
 	w.sent[o.Id] = w.now
-	w.flights = append(w.flights, flight{o, w.now})
-	w.flights = w.flights[max(0, len(w.flights)-60):]
+	w.inFlight = append(w.inFlight, inFlightOrder{o, w.now})
+	w.inFlight = w.inFlight[max(0, len(w.inFlight)-60):]
 }
 
-func (w *world) close(id uint64, out engine.Outcome) {
+func (w *simulation) close(id uint64, out engine.Outcome) {
 	outcome := wire.OrderOutcome_OUTCOME_NOT_RUN
 	if out.Done {
 		outcome = wire.OrderOutcome_OUTCOME_DONE
 	}
-	w.agree(&wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: outcome}}})
+	w.commit(&wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: outcome}}})
 }
 
-// arrive lets an order arrive, maybe a second time, and its answer get lost or
-// not. One to a server without fences cannot arrive later than it may be late.
-func (w *world) arrive(i int, again, answered bool) {
-	fl := w.flights[i]
-	w.flights = slices.Delete(w.flights, i, i+1)
-	if again {
-		w.doubled = append(w.doubled, fl)
-		w.doubled = w.doubled[max(0, len(w.doubled)-20):]
+// arrive lets an order arrive, possibly twice, with its answer lost or not. An order to a server
+// without fences cannot arrive after its maximum delay.
+func (w *simulation) arrive(i int, duplicate, answered bool) {
+	fl := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
+	if duplicate {
+		w.duplicates = append(w.duplicates, fl)
+		w.duplicates = w.duplicates[max(0, len(w.duplicates)-20):]
 	}
-	w.hit(fl, answered)
+	w.deliver(fl, answered)
 }
 
-// hit lets an order reach its server.
-func (w *world) hit(fl flight, answered bool) {
+// deliver lets an order reach its server.
+func (w *simulation) deliver(fl inFlightOrder, answered bool) {
 	f := w.servers[fl.order.Server]
-	if f.down || !f.fences && w.now-fl.sent > orderLate {
+	if f.down || !f.checksFences && w.now-fl.sent > orderLate {
 		return
 	}
-	w.ran++
+	w.executed++
 	out := f.run(fl.order)
-	if _, mine := w.sent[fl.order.Id]; answered && mine {
+	if _, sentHere := w.sent[fl.order.Id]; answered && sentHere {
 		w.answers[fl.order.Id] = out
 	}
 	w.checkServer(f)
 }
 
-// checkServer is the promise, by the server's own account.
-func (w *world) checkServer(f *fake) {
+// checkServer checks the memory guarantee against the server's own residents.
+func (w *simulation) checkServer(f *fakeServer) {
 	sum := uint64(0)
 	for _, m := range f.residents {
 		sum += m
@@ -347,11 +345,11 @@
 	}
 }
 
-func (w *world) pick(label string) *fake {
+func (w *simulation) pick(label string) *fakeServer {
 	return w.servers[fmt.Sprint("s", rapid.IntRange(0, servers-1).Draw(w.t, label))]
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	switch rapid.IntRange(0, 27).Draw(w.t, "action") {
 	case 0, 1, 2:
 		w.now += time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "ms")) * time.Millisecond
@@ -360,23 +358,23 @@
 	case 6, 7:
 		w.decide()
 	case 8, 9, 10:
-		w.drive()
+		w.driveOrders()
 	case 11, 12, 13, 14, 15:
-		if n := len(w.flights); n > 0 {
+		if n := len(w.inFlight); n > 0 {
 			w.arrive(rapid.IntRange(0, n-1).Draw(w.t, "order"), rapid.IntRange(0, 2).Draw(w.t, "again") == 0, rapid.IntRange(0, 2).Draw(w.t, "answered") > 0)
 		}
 	case 16:
-		if n := len(w.flights); n > 0 {
+		if n := len(w.inFlight); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(w.t, "lost")
-			w.flights = slices.Delete(w.flights, i, i+1)
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 		}
 	case 17:
 		if rapid.Bool().Draw(w.t, "rarely") {
 			w.elect()
-		} else if n := len(w.doubled); n > 0 {
+		} else if n := len(w.duplicates); n > 0 {
 			i := rapid.IntRange(0, n-1).Draw(w.t, "doubled")
-			w.hit(w.doubled[i], false)
-			w.doubled = slices.Delete(w.doubled, i, i+1)
+			w.deliver(w.duplicates[i], false)
+			w.duplicates = slices.Delete(w.duplicates, i, i+1)
 		}
 	case 18:
 		f := w.pick("failing")
@@ -389,9 +387,9 @@
 			f.down = false
 		}
 	case 20, 21:
-		w.whim()
+		w.issueRandomLoad()
 	case 22, 23, 24, 25, 26, 27:
-		w.whimAway()
+		w.issueRandomUnload()
 	case 19:
 		if rapid.IntRange(0, 3).Draw(w.t, "rarely") == 0 {
 			w.apply()
@@ -399,8 +397,8 @@
 	}
 }
 
-// heal ends all failures and lets everything run its course.
-func (w *world) heal() {
+// heal ends all failures and runs until everything settles.
+func (w *simulation) heal() {
 	for _, f := range w.servers {
 		f.down = false
 	}
@@ -409,14 +407,14 @@
 		for i := range servers {
 			w.read(w.servers[fmt.Sprint("s", i)])
 		}
-		w.drive()
-		for len(w.flights) > 0 {
+		w.driveOrders()
+		for len(w.inFlight) > 0 {
 			w.arrive(0, false, true)
 		}
-		w.drive()
+		w.driveOrders()
 		plan := placement.Decide(placement.Input{State: w.st, LeaderFor: time.Hour})
 		for _, d := range plan.Decisions {
-			if r := w.agree(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}}); r.Err == nil {
+			if r := w.commit(&wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}}); r.Err == nil {
 				r.Order.Term = w.term
 			}
 		}
@@ -424,59 +422,59 @@
 	w.checkAll()
 }
 
-// checkAll wants every model and adapter of the file resident by the servers'
-// own account, and the agreed state equal to it.
-func (w *world) checkAll() {
+// checkAll requires every model and adapter of the file to be resident according to the servers,
+// and the committed state to match.
+func (w *simulation) checkAll() {
 	if w.st.Orders.Len() > 0 {
-		w.t.Fatalf("orders are open for ever: %v", w.st.Orders)
+		w.t.Fatalf("orders stay open forever: %v", w.st.Orders)
 	}
 	for p, r := range w.st.Residents.All() {
 		if _, held := w.servers[p.Server].residents[p]; !held || r.Phase != wire.Phase_PHASE_READY {
-			w.t.Fatalf("%v is agreed as %v, but the server holds %v", p, r.Phase, w.servers[p.Server].residents)
+			w.t.Fatalf("%v is committed as %v, but the server has %v", p, r.Phase, w.servers[p.Server].residents)
 		}
 	}
 	for name, m := range w.st.Fleet.Models {
-		w.wantHeld(ledger.Location{Model: name, Version: m.Version})
+		w.requireResident(ledger.Location{Model: name, Version: m.Version})
 	}
 	for name, a := range w.st.Fleet.Adapters {
-		w.wantHeld(ledger.Location{Model: a.Model, Adapter: name, Version: a.Version})
+		w.requireResident(ledger.Location{Model: a.Model, Adapter: name, Version: a.Version})
 	}
 }
 
-func (w *world) wantHeld(want ledger.Location) {
+func (w *simulation) requireResident(location ledger.Location) {
 	for _, f := range w.servers {
 		for p := range f.residents {
 			p.Server, p.Accelerator = "", 0
-			if p == want {
+			if p == location {
 				return
 			}
 		}
 	}
-	w.t.Fatalf("%+v is nowhere resident", want)
+	w.t.Fatalf("%+v is not resident anywhere", location)
 }
 
-// TestMemoryUnderFailure drives placement, ledger and orders through lost, late
-// and doubled orders, lost answers, changes of the leader, restarts of servers
-// and new fleet files, over servers of both kinds.
+// TestMemoryUnderFailure runs placement, ledger and orders through lost, late and duplicate orders,
+// lost answers, leader changes, restarts of servers and new fleet files, with servers of both
+// kinds.
 func TestMemoryUnderFailure(t *testing.T) {
 	issued, ran := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt)
+		w := newSimulation(rt)
 		for range 3000 {
 			w.step()
 		}
 		w.heal()
 		issued += w.issued
-		ran += w.ran
+		ran += w.executed
 	})
 	g := NewWithT(t)
-	g.Expect(issued).To(BeNumerically(">", 2000), "the runs must give orders, or they prove nothing")
+	g.Expect(issued).To(BeNumerically(">", 2000), "the runs must issue orders, or they check nothing")
 	g.Expect(ran).To(BeNumerically(">", 2000))
 }
 
-// TestWhatClosesAtOnce is about servers without fences: after anything but a
-// load that was done, a load still on its way could arrive uncounted.
-func TestWhatClosesAtOnce(t *testing.T) {
+// TestClosesImmediately covers servers without fences: after anything but a completed load, a load
+// that is still in flight could arrive uncounted.
+func TestClosesImmediately(t *testing.T) {
 	for _, c := range []struct {
 		action wire.OrderAction
 		done   bool
@@ -491,7 +489,7 @@
 	}
 }
 
-func TestNothingIsSettledWhileLoading(t *testing.T) {
+func TestOutcomeIsNotSettledWhileLoading(t *testing.T) {
 	g := NewWithT(t)
 	o := &wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: "s", Item: &wire.Item{Model: "m", Version: "1"}}
 	_, settled := control.OutcomeFromState(o, &engine.State{Residents: []engine.Resident{{Model: "m", Version: "1", Loading: true}}})
--- a/control/pause.go
+++ b/control/pause.go
@@ -9,62 +9,63 @@
 
 // Rules for the first orders of a new leader (5):
 //
-//  1. No two boxes give orders to one server within the pause. An order is agreed
-//     before it is sent, and closed after it was sent last. So what a new leader
-//     holds as agreed names all that earlier ones gave, and the entry that was about
-//     a server last came behind the last order's arrival there.
-//  2. Each box notes, by its own steady clock, when it first saw that entry: never
-//     before it was made. What it sees on its first look, or catches up with, counts
-//     as made then.
-//  3. A server may be given orders once that is the pause ago. Where an order of an
-//     earlier leader is still open, the pause counts from the leadership's begin.
-//  4. A server that has started again gets none while an order to a life before may still arrive (arrivals.go).
-//  5. A server that asked this box for a rest gets none while it lasts.
+//  1. No two boxes send orders to one server within the pause. An order is committed before it is
+//     sent, and closed after its last attempt. So the committed orders of a new leader include all
+//     that earlier leaders issued, and the last log entry about a server comes after the last
+//     order arrived there.
+//  2. Each box records, by its own monotonic clock, when it first saw that entry, which is never
+//     before the entry was made. Entries that it sees on its first check, or while catching up,
+//     count as made at that time.
+//  3. A server may be given orders once that time is the pause ago. If an order of an earlier
+//     leader is still open, the pause counts from the start of the leadership.
+//  4. A server that has restarted gets no orders while an order to a previous incarnation may
+//     still arrive (inflight.go).
+//  5. A server that asked this box for a backoff gets no orders during it.
 
-// ordered is when a box first saw the entry that was about a server last.
-type ordered struct {
+// lastOrder is when a box first saw the last entry about a server.
+type lastOrder struct {
 	entry uint64
 	seen  time.Time
 }
 
-// watchOrders is rule 2. It is called whether the box leads or not.
+// watchOrders implements rule 2. It is called whether or not the box leads.
 func (c *Controller) watchOrders(view *state.State, now time.Time) {
-	c.watchLives(view, now)
-	first := c.ordered == nil
+	c.watchIncarnations(view, now)
+	first := c.lastOrders == nil
 	if first {
-		c.ordered = map[string]ordered{}
+		c.lastOrders = map[string]lastOrder{}
 	}
 	for name, s := range view.Servers.All() {
-		known, ok := c.ordered[name]
+		known, ok := c.lastOrders[name]
 		switch {
 		case first:
-			c.ordered[name] = ordered{s.Ordered, now}
+			c.lastOrders[name] = lastOrder{s.Ordered, now}
 		case !ok && s.Ordered == 0:
-			c.ordered[name] = ordered{}
+			c.lastOrders[name] = lastOrder{}
 		case !ok, known.entry != s.Ordered:
-			c.ordered[name] = ordered{s.Ordered, now}
+			c.lastOrders[name] = lastOrder{s.Ordered, now}
 		}
 	}
-	for name := range c.ordered {
+	for name := range c.lastOrders {
 		if view.Servers.Get(name) == nil {
-			delete(c.ordered, name)
+			delete(c.lastOrders, name)
 		}
 	}
 }
 
-// held returns the servers that must not be given orders yet (3, 4, 5).
-func (c *Controller) held(view *state.State, now time.Time) map[string]bool {
+// heldServers returns the servers that must not be given orders yet (3, 4, 5).
+func (c *Controller) heldServers(view *state.State, now time.Time) map[string]bool {
 	held := map[string]bool{}
-	c.holdNextLives(view, now, held)
+	c.holdNextIncarnations(view, now, held)
 	for name := range view.Servers.All() {
-		if c.rests(name) {
+		if c.inBackoff(name) {
 			held[name] = true
 		}
 	}
-	if now.Sub(c.ledSince) >= c.opts.OrderPause {
+	if now.Sub(c.leadingSince) >= c.opts.OrderPause {
 		return held
 	}
-	for name, o := range c.ordered {
+	for name, o := range c.lastOrders {
 		held[name] = held[name] || now.Sub(o.seen) < c.opts.OrderPause
 	}
 	for _, o := range view.Orders.All() {
@@ -75,9 +76,9 @@
 	return held
 }
 
-func (c *Controller) rests(server string) bool {
+func (c *Controller) inBackoff(server string) bool {
 	return c.opts.InBackoff != nil && c.opts.InBackoff(server)
 }
 
-// inherited reports whether an order was given by an earlier leader.
+// inherited reports whether an order was issued by an earlier leader.
 func (c *Controller) inherited(o *wire.Order) bool { return o.Term != c.term }
--- a/control/steady_test.go
+++ b/control/rates_test.go
@@ -9,9 +9,9 @@
 	"leverdrum/placement"
 )
 
-func TestSteadyRatesLagAndAreForgotten(t *testing.T) {
+func TestLongTermRatesLagAndExpire(t *testing.T) {
 	g := NewWithT(t)
-	var s steady
+	var s longTermRates
 	now := time.Now()
 	note := func(requests float64) float64 {
 		now = now.Add(time.Second)
@@ -19,16 +19,16 @@
 		if requests > 0 {
 			demand["m"] = placement.Demand{Requests: requests}
 		}
-		s.note(demand, now)
+		s.update(demand, now)
 		return demand["m"].LongTermRequests
 	}
-	g.Expect(note(2)).To(BeNumerically("~", 2, 1e-9), "the first rates are taken for the average")
+	g.Expect(note(2)).To(BeNumerically("~", 2, 1e-9), "the first rates are used as the average")
 	g.Expect(note(20)).To(BeNumerically("~", 2+18*0.095, 0.1), "a rise shows slowly")
 	g.Expect(note(0)).To(BeNumerically(">", 3), "as does its end")
 	for range 120 {
 		note(0)
 	}
-	g.Expect(s.rates).To(BeEmpty(), "names that callers invented do not pile up")
-	s.forget()
-	g.Expect(note(7)).To(BeNumerically("~", 7, 1e-9), "a new leadership begins anew")
+	g.Expect(s.rates).To(BeEmpty(), "arbitrary names do not accumulate")
+	s.reset()
+	g.Expect(note(7)).To(BeNumerically("~", 7, 1e-9), "a new leadership starts from scratch")
 }
--- a/control/states.go
+++ b/control/states.go
@@ -12,17 +12,17 @@
 	"leverdrum/wire"
 )
 
-// readStates begins to read the state of each server that is due. A server that
-// does not answer holds up nobody.
+// readStates starts reading the state of each server that is due. A server that does not answer
+// delays no other.
 func (c *Controller) readStates(ctx context.Context, view *state.State) {
 	for _, s := range view.Fleet.Servers {
 		if s.Pool != "" {
-			continue // announces itself
+			continue // it announces itself
 		}
 		c.mu.Lock()
-		due := !c.reading[s.Name] && time.Since(c.reports[s.Name].began) >= round
+		due := !c.readsInProgress[s.Name] && time.Since(c.reports[s.Name].began) >= stepInterval
 		if due {
-			c.reading[s.Name] = true
+			c.readsInProgress[s.Name] = true
 		}
 		c.mu.Unlock()
 		if due {
@@ -38,7 +38,7 @@
 	st, err := c.opts.Engines(s.Name, s.Address).State(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.reading, s.Name)
+	delete(c.readsInProgress, s.Name)
 	if err == nil {
 		c.reports[s.Name] = report{st, began}
 	}
@@ -51,8 +51,7 @@
 	return r, ok
 }
 
-// noteServers puts changes of incarnation, of leaving and the end of a
-// quarantine into the agreed state.
+// noteServers commits changes of incarnation and of draining, and the end of a quarantine.
 func (c *Controller) noteServers(ctx context.Context, view *state.State) {
 	for _, s := range view.Fleet.SortedServers() {
 		r, ok := c.report(s.Name)
@@ -70,12 +69,12 @@
 		if _, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Server{Server: seen}}); err != nil {
 			return
 		}
-		c.opts.Records.Note(record.Server, s.Name, "incarnation "+r.state.Incarnation, "the server's own word")
+		c.opts.Records.Note(record.Server, s.Name, "incarnation "+r.state.Incarnation, "reported by the server")
 	}
 }
 
-// settled reports whether a quarantined server's state was read after no order
-// from before its restart could arrive any more, and nothing is being loaded.
+// settled reports whether a quarantined server's state was read after no order from before its
+// restart could arrive any more, and nothing is being loaded.
 func (c *Controller) settled(s *fleet.Server, known *wire.ServerState, r report) bool {
 	if !known.GetQuarantined() || known.Incarnation != r.state.Incarnation {
 		return false
