--- a/rate/doc.go
+++ b/rate/doc.go
@@ -1,20 +1,20 @@
-// Package rate keeps to limits that hold for all boxes together: of what workspaces are served, and of
-// what backend servers take.
+// Package rate enforces limits that hold for all boxes together: on what workspaces are served, and on
+// what is sent to backend servers.
 //
 // Rules:
 //
-//  1. In any span no more is had of a limit than its rate over that span and its burst, and what a lease may be late (2).
-//     The box that leads allocates leases of the limit's token bucket to the others (allocator.go, lessor.go); each
-//     spends what it holds (limiter.go).
-//  2. A lease ends a fixed time after it was asked for, by the clock of the box that asked. What was
-//     not spent goes back to the allocator that gave it.
-//  3. A new allocator begins with little, since what the one before gave may still be spent.
-//  4. While a box reaches no leader, any other box allocates to it: of the rate and the burst that
-//     part which those that ask there are of all boxes. In the end it allocates to itself, its own
-//     part. So all allocators together, however many there are, allocate the rate once; and once
-//     more, for those that are cut off, their part of it.
-//  5. A request that ends without having run gives its weight back.
-//  6. What is left of a limit goes to the more urgent first: a lease to a less urgent rank leaves enough for
-//     a more urgent one that was refused lately. After some leases to others before it, it is the turn of a rank that
-//     was refused, and the more urgent leave enough for it, so that none starves (turns.go).
+//  1. Within any window no more of a limit is used than its rate over that window, its burst, and what leases
+//     add by being spent late (2). The box that leads allocates leases of the limit's token bucket to the others
+//     (allocator.go, lessor.go). Each box spends the leases that it holds (limiter.go).
+//  2. A lease expires a fixed time after it was requested, by the clock of the box that requested it. Unspent
+//     tokens are returned to the allocator that issued the lease.
+//  3. A new allocator starts with few tokens, since leases of the previous one may still be spent.
+//  4. A box that reaches no leader requests leases from any other box. That box allocates the share of the rate
+//     and the burst that corresponds to the boxes that send requests to it, out of all boxes. A box that reaches
+//     no other box allocates its own share to itself. All allocators together, however many there are, therefore
+//     allocate the rate once, plus the share of the isolated boxes a second time.
+//  5. The weight of a request that ends without having run is released.
+//  6. Scarce tokens go to more urgent ranks first: a lease to a less urgent rank leaves enough in the bucket for a
+//     more urgent rank that was refused recently. To prevent starvation, a refused rank takes precedence after
+//     some leases to more urgent ranks, which then leave enough for it (ranks.go).
 package rate
--- a/rate/lessor.go
+++ b/rate/lessor.go
@@ -6,81 +6,80 @@
 	"time"
 )
 
-// askerTTL is how long a box counts as one of those that ask an allocator that does not lead (4). A
-// box with callers asks several times in it.
-const askerTTL = time.Second
+// requesterTTL is how long a box counts as one that sends requests to an allocator that is not the leader's (4). A box
+// with callers sends several requests in this time.
+const requesterTTL = time.Second
 
-// Leadership is what a box knows of leading when it is asked.
+// Leadership is what a box knows of the leadership when it receives a request.
 type Leadership struct {
-	// IsLeader tells that no other box leads now; Term is unlike that of any other time of leading.
+	// IsLeader reports that this box leads and no other does. Term is unique to each period of leadership.
 	IsLeader bool
 	Term     uint64
-	// Boxes is how many boxes there are.
+	// Boxes is the number of boxes.
 	Boxes int
 }
 
-// Lessor answers what boxes ask for of limits: as the box that leads, or as one that others turn to
-// while they reach no leader (4).
+// Lessor answers the lease requests of boxes: as the leader, or as a substitute while they reach no leader (4).
 type Lessor struct {
-	process string // unlike that of any other run of any box
+	process string // unique to each run of each box
 	now     func() time.Duration
 
-	mu        sync.Mutex
-	lead      Leadership
-	allocator *allocator
-	askedAt   time.Duration            // by any box, last
-	askers    map[string]time.Duration // boxes, and when they asked last
+	mu            sync.Mutex
+	leadership    Leadership
+	allocator     *allocator
+	lastRequestAt time.Duration            // time of the last request of any box
+	requesters    map[string]time.Duration // time of each box's last request
 }
 
-// NewLessor returns the Lessor of a process; now is a steady clock that goes on while the machine sleeps.
+// NewLessor returns the Lessor of a process. The clock now is monotonic and continues while the machine is suspended.
 func NewLessor(process string, now func() time.Duration) *Lessor {
-	return &Lessor{process: process, now: now, allocator: newAllocator(), askers: map[string]time.Duration{}}
+	return &Lessor{process: process, now: now, allocator: newAllocator(), requesters: map[string]time.Duration{}}
 }
 
-// Lease answers a box. The epoch is that of the allocator to which what it gives back belonged; limitOf tells what a
-// key is bounded by, false where it is not known.
-func (l *Lessor) Lease(box, epoch string, lead Leadership, limitOf func(LimitRequest) (Limit, bool), asks []LimitRequest) LeaseResponse {
+// Lease responds to a box. The epoch is that of the allocator whose unspent tokens the box returns. limitOf returns
+// the limit of a request, false if it is not known.
+func (l *Lessor) Lease(box, epoch string, leadership Leadership, limitOf func(LimitRequest) (Limit, bool), requests []LimitRequest) LeaseResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	changed := lead.IsLeader != l.lead.IsLeader || lead.Term != l.lead.Term
-	rested := !lead.IsLeader && now-l.askedAt > ownShareTTL // what a part saved up meanwhile was another's to give
-	if changed || rested {
+	changed := leadership.IsLeader != l.leadership.IsLeader || leadership.Term != l.leadership.Term
+	idle := !leadership.IsLeader && now-l.lastRequestAt > ownShareTTL // tokens of the idle time belonged to other allocators
+	if changed || idle {
 		l.allocator = newAllocator()
 	}
-	l.lead, l.askedAt = lead, now
-	answer := LeaseResponse{Epoch: l.epoch()}
+	l.leadership, l.lastRequestAt = leadership, now
+	response := LeaseResponse{Epoch: l.epoch()}
 	share := l.share(box, now)
-	for _, ask := range asks {
-		limit, known := limitOf(ask)
+	for _, request := range requests {
+		limit, known := limitOf(request)
 		if !known {
 			continue
 		}
-		if epoch != answer.Epoch {
-			ask.Unused = 0
+		if epoch != response.Epoch {
+			request.Unused = 0
 		}
-		answer.Grants = append(answer.Grants, LimitGrant{ask.Key, l.allocator.lease(now, ask.Key, limit, share, ask.LeaseRequest)})
+		response.Grants = append(response.Grants, LimitGrant{request.Key, l.allocator.lease(now, request.Key, limit, share, request.LeaseRequest)})
 	}
-	return answer
+	return response
 }
 
 func (l *Lessor) epoch() string {
-	if !l.lead.IsLeader {
+	if !l.leadership.IsLeader {
 		return l.process
 	}
-	return l.process + "/" + strconv.FormatUint(l.lead.Term, 10)
+	return l.process + "/" + strconv.FormatUint(l.leadership.Term, 10)
 }
 
-// share is the part of the limits that the allocator has.
+// share is the share of each limit that the allocator has.
 func (l *Lessor) share(box string, now time.Duration) float64 {
-	if l.lead.IsLeader {
+	if l.leadership.IsLeader {
 		return 1
 	}
-	l.askers[box] = now
-	for name, at := range l.askers {
-		if now-at > askerTTL {
-			delete(l.askers, name)
+	l.requesters[box] = now
+	for name, at := range l.requesters {
+		if now-at > requesterTTL {
+			delete(l.requesters, name)
 		}
 	}
-	return min(1, float64(len(l.askers))/float64(max(1, l.lead.Boxes)))
+	return min(1, float64(len(l.requesters))/float64(max(1, l.leadership.Boxes)))
 }
--- a/rate/refusal.go
+++ b/rate/refusal.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Refusal says that a limit does not admit a request now.
+// Refusal is the reason why a limit does not admit a request now.
 type Refusal struct {
-	// RetryAfter is when it had best come back.
+	// RetryAfter is when the request should be retried.
 	RetryAfter time.Duration
-	// Exhausted tells that the limit is used up; else no allocator could be asked.
+	// Exhausted reports that the limit is used up; if false, no allocator could be reached.
 	Exhausted bool
-	// TooLarge tells that the request alone is beyond what the limit admits in a window.
+	// TooLarge reports that the request alone exceeds what the limit admits in a window.
 	TooLarge bool
-	// Balance is what the box might have spent, Age how old the answer is that this rests on.
+	// Balance is what the box could have spent, Age the age of the response on which this refusal is based.
 	Balance float64
 	Age     time.Duration
 }
