--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -1,18 +1,19 @@
-// Package throttle keeps a box to the limits that backend servers name: how many requests a second a server
-// takes from all boxes together, for as long as its answers say so.
+// Package throttle applies the limits that backend servers report: how many requests per second a server accepts
+// from all boxes together, for as long as its responses say so.
 //
 // Rules:
 //
-//  1. Of what an answer reported to this box and what is agreed, the newer holds. A box that was told another limit than
-//     is agreed tells the leader, which has it agreed for all.
-//  2. Each attempt at a server with a limit, first or not, needs a lease of it (package rate). The lease of an attempt that
-//     was never sent is released.
-//  3. A server whose limit is exhausted is skipped until it admits more; the request goes to another, or is refused with
-//     that time.
-//  4. Servers without a limit are preferred. Now and then a request goes to one with a limit all the same: otherwise nobody
-//     would learn that the limit has ended. All boxes together do so less often than the limit allows.
-//  5. A server that warms up, by its heartbeats, has a limit like one that names it. So has one that is not heard, or that
-//     this box lately could not reach: it may be starting, and has not said so yet.
+//  1. Of the limit that a response reported to this box and the committed one, the newer applies. A box that receives
+//     another limit than the committed one reports it to the leader, which commits it for all boxes.
+//  2. Each attempt at a server with a limit, first or retry, needs a lease of it (package rate). The lease of an attempt
+//     that was never sent is released.
+//  3. A server whose limit is exhausted is skipped until it admits more. The request goes to another server, or is
+//     refused with that time.
+//  4. Servers without a limit are preferred. A server with a limit is probed with a request from time to time: otherwise
+//     no box would learn that the limit has ended. The probes of all boxes together stay below the limit.
+//  5. A server that is warming up, by its heartbeats, has a limit as if it had reported one. So has a server without
+//     recent heartbeats, and one that this box recently failed to reach: it may be starting and not have reported that
+//     yet.
 package throttle
 
 import (
@@ -31,35 +32,36 @@
 )
 
 const (
-	// minBurst, in requests, and burstSpan, in seconds of the limit, are what a server may get beyond its limit: room for
-	// two that come at once, of which a more urgent one may take the second.
+	// minBurst, in requests, and burstSpan, in seconds of the limit, are what a server may receive beyond its limit.
+	// This admits two simultaneous requests; a more urgent one may take the second.
 	minBurst  = 2.0
 	burstSpan = 0.5
-	// reportInterval is the least time in which the leader is told the same of a server again.
+	// reportInterval is the minimum time before the same limit of a server is reported to the leader again.
 	reportInterval = 300 * time.Millisecond
-	// minChange is the change of a limit, as a share of it, from which the leader is told: some servers name
-	// another with each answer.
+	// minChange is the relative change of a limit from which it is reported to the leader: some servers report another
+	// limit with each response.
 	minChange = 0.05
-	// minTryInterval is the mean time between a box's tries of a server (4) at the least, tryShare the part of the limit that
-	// such tries of all boxes take.
-	minTryInterval = 2 * time.Second
-	tryShare       = 0.5
-	// maxTryIntervals bounds the time between two tries, in mean times.
-	maxTryIntervals = 5
-	// unreachedFor is how long a server that could not be reached counts as one that may warm up (5): until its next heartbeat
-	// has come to all boxes.
-	unreachedFor = 3 * time.Second
-	// maxReports bounds the servers whose own reports are remembered; those older than keepReportsFor go then.
-	maxReports     = 4096
-	keepReportsFor = time.Minute
+	// minProbeInterval is the minimum of the mean time between a box's probes of a server (4). The probes of all boxes
+	// take at most the share probeShare of the limit.
+	minProbeInterval = 2 * time.Second
+	probeShare       = 0.5
+	// maxProbeIntervals bounds the time between two probes, as a multiple of the mean.
+	maxProbeIntervals = 5
+	// unreachableTTL is how long an unreachable server counts as possibly warming up (5): until its next heartbeat has
+	// reached all boxes.
+	unreachableTTL = 3 * time.Second
+	// maxReports bounds the servers whose reports are kept. When it is reached, reports older than reportTTL are
+	// dropped.
+	maxReports = 4096
+	reportTTL  = time.Minute
 )
 
-// Options make a Throttle.
+// Options configures a Throttle.
 type Options struct {
 	Limiter *rate.Limiter
-	// View is the agreed state.
+	// View returns the committed state.
 	View func() *state.State
-	// ReportLimit has the leader hear what a server named. It must not block.
+	// ReportLimit reports a server's limit to the leader. It must not block.
 	ReportLimit func(server string, limit dialect.Limit)
 	Meters      *meter.Meters
 	Log         *zap.Logger
@@ -71,67 +73,67 @@
 
 	mu      sync.Mutex
 	reports map[string]*report // by server
-	// unreached is when servers that may warm up could not be reached last (5).
-	unreached map[string]time.Time
+	// unreachable holds when a server that may be warming up could last not be reached (5).
+	unreachable map[string]time.Time
 }
 
-// report is what a server said to this box, or what is agreed since.
+// report is what a server reported to this box, or what was committed since.
 type report struct {
-	limit        dialect.Limit
-	agreed       dialect.Limit // when limit was recorded
-	at           time.Time     // of the server's newest answer here
-	tryAt        time.Time     // when it is to be tried though others are preferred
-	lastReported dialect.Limit // to the leader
-	reportedAt   time.Time
-	faulty       bool // a value that cannot be read was logged
+	limit           dialect.Limit
+	committed       dialect.Limit // at the time when limit was recorded
+	at              time.Time     // of the server's latest response to this box
+	probeAt         time.Time     // when it is to be probed although others are preferred
+	lastReported    dialect.Limit // to the leader
+	reportedAt      time.Time
+	malformedLogged bool // a malformed value was logged
 }
 
-// New returns a Throttle.
 func New(opts Options) *Throttle {
-	return &Throttle{opts: opts, reports: map[string]*report{}, unreached: map[string]time.Time{}}
+	return &Throttle{opts: opts, reports: map[string]*report{}, unreachable: map[string]time.Time{}}
 }
 
-// RecordReport records what an answer of a server says of its limit. One that names none ends it, if it is surely the server's.
+// RecordReport records the limit in a server's response. A response without one ends the limit, if it certainly comes
+// from the server itself.
 func (t *Throttle) RecordReport(server string, r dialect.Report) {
-	named := r.HasLimit || r.LimitErr != nil
-	if t == nil || !named && (!r.Own || !t.knows(server)) {
+	reported := r.HasLimit || r.LimitErr != nil
+	if t == nil || !reported && (!r.Own || !t.hasLimit(server)) {
 		return
 	}
 	now := time.Now()
-	limit, said, err := r.Limit, r.HasLimit || !named, r.LimitErr
-	agreed := t.opts.View().LimitOf(server)
+	limit, definite, err := r.Limit, r.HasLimit || !reported, r.LimitErr
+	committed := t.opts.View().LimitOf(server)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.reportOf(server, agreed, now)
-	w.at = now
-	if !said {
-		limit = w.limit
+	rep := t.reportFor(server, committed, now)
+	rep.at = now
+	if !definite {
+		limit = rep.limit
 	}
-	if err != nil && !w.faulty {
-		w.faulty = true
+	if err != nil && !rep.malformedLogged {
+		rep.malformedLogged = true
 		event.LimitMalformed.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), event.Cause(err))
 	}
-	if limit != w.limit {
-		event.ServerLimited.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), zap.Float64("before", w.limit.PerSecond()))
-		w.limit = limit
+	if limit != rep.limit {
+		event.ServerLimited.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), zap.Float64("before", rep.limit.PerSecond()))
+		rep.limit = limit
 	}
-	if said && differ(limit, agreed) && (w.lastReported != limit || now.Sub(w.reportedAt) >= reportInterval) {
-		w.lastReported, w.reportedAt = limit, now
+	if definite && significantChange(limit, committed) && (rep.lastReported != limit || now.Sub(rep.reportedAt) >= reportInterval) {
+		rep.lastReported, rep.reportedAt = limit, now
 		t.opts.ReportLimit(server, limit)
 	}
 }
 
-// differ reports whether a limit is to be told that differs from the agreed one.
-func differ(limit, agreed dialect.Limit) bool {
-	if limit == 0 || agreed == 0 {
-		return limit != agreed
+// significantChange reports whether a limit differs enough from the committed one to be reported.
+func significantChange(limit, committed dialect.Limit) bool {
+	if limit == 0 || committed == 0 {
+		return limit != committed
 	}
-	change := limit.PerSecond() - agreed.PerSecond()
-	return max(change, -change) > minChange*agreed.PerSecond()
+	change := limit.PerSecond() - committed.PerSecond()
+	return max(change, -change) > minChange*committed.PerSecond()
 }
 
-// knows reports whether some report of a server stands.
-func (t *Throttle) knows(server string) bool {
+// hasLimit reports whether a limit of a server is known, committed or reported.
+func (t *Throttle) hasLimit(server string) bool {
 	if t.opts.View().LimitOf(server) != 0 {
 		return true
 	}
@@ -140,31 +142,31 @@
 	return t.reports[server] != nil
 }
 
-// reportOf is rule 1. The caller holds the lock.
-func (t *Throttle) reportOf(server string, agreed dialect.Limit, now time.Time) *report {
-	w := t.reports[server]
-	if w == nil {
+// reportFor returns the report that applies, by rule 1. The caller holds the lock.
+func (t *Throttle) reportFor(server string, committed dialect.Limit, now time.Time) *report {
+	rep := t.reports[server]
+	if rep == nil {
 		if len(t.reports) >= maxReports {
-			t.forget(now)
+			t.evictOldReports(now)
 		}
-		w = &report{limit: agreed, agreed: agreed, at: now}
-		t.reports[server] = w
+		rep = &report{limit: committed, committed: committed, at: now}
+		t.reports[server] = rep
 	}
-	if w.agreed != agreed {
-		w.agreed, w.limit = agreed, agreed
+	if rep.committed != committed {
+		rep.committed, rep.limit = committed, committed
 	}
-	return w
+	return rep
 }
 
-func (t *Throttle) forget(now time.Time) {
-	for server, w := range t.reports {
-		if now.Sub(w.at) > keepReportsFor {
+func (t *Throttle) evictOldReports(now time.Time) {
+	for server, rep := range t.reports {
+		if now.Sub(rep.at) > reportTTL {
 			delete(t.reports, server)
 		}
 	}
 }
 
-// Active reports whether some server may have a limit: if not, none need be looked up.
+// Active reports whether any server may have a limit. If not, callers can skip the lookups.
 func (t *Throttle) Active() bool {
 	if t == nil {
 		return false
@@ -178,15 +180,16 @@
 	return len(t.reports) > 0
 }
 
-// Limit returns a server's limit, 0 for none: the one that it names, or the lower one that it has while it warms up.
+// Limit returns a server's limit, 0 for none: the one that it reports, or the lower one that it has while it is
+// warming up.
 func (t *Throttle) Limit(server string) dialect.Limit {
 	if t == nil {
 		return 0
 	}
-	return lower(t.named(server), t.warmUp(server))
+	return lower(t.reportedLimit(server), t.warmUpLimit(server))
 }
 
-// lower returns the lower of two limits, of which either may be none.
+// lower returns the lower of two limits, where 0 means no limit.
 func lower(a, b dialect.Limit) dialect.Limit {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -201,14 +204,14 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.unreached) >= maxReports {
-		clear(t.unreached)
+	if len(t.unreachable) >= maxReports {
+		clear(t.unreachable)
 	}
-	t.unreached[server] = time.Now()
+	t.unreachable[server] = time.Now()
 }
 
-// warmUp is rule 5.
-func (t *Throttle) warmUp(server string) dialect.Limit {
+// warmUpLimit returns the limit by rule 5, 0 for none.
+func (t *Throttle) warmUpLimit(server string) dialect.Limit {
 	view := t.opts.View()
 	if view.Fleet == nil || !view.Fleet.WarmsUp {
 		return 0
@@ -218,33 +221,33 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, noted := t.unreached[server]
+	at, known := t.unreachable[server]
 	switch {
-	case !noted:
+	case !known:
 		return 0
-	case time.Since(at) > unreachedFor:
-		delete(t.unreached, server)
+	case time.Since(at) > unreachableTTL:
+		delete(t.unreachable, server)
 		return 0
 	}
 	return view.WarmUpRate(server)
 }
 
-// named returns the limit that a server names, 0 for none.
-func (t *Throttle) named(server string) dialect.Limit {
-	agreed := t.opts.View().LimitOf(server)
+// reportedLimit returns the limit that a server reports, 0 for none.
+func (t *Throttle) reportedLimit(server string) dialect.Limit {
+	committed := t.opts.View().LimitOf(server)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.reports[server] == nil && agreed == 0 {
+	if t.reports[server] == nil && committed == 0 {
 		return 0
 	}
-	w := t.reportOf(server, agreed, time.Now())
-	if w.limit == 0 && agreed == 0 { // it has ended for all
+	rep := t.reportFor(server, committed, time.Now())
+	if rep.limit == 0 && committed == 0 { // it has ended for all boxes
 		delete(t.reports, server)
 	}
-	return w.limit
+	return rep.limit
 }
 
-// LimitOf is what all boxes together keep to for a server that names a limit.
+// LimitOf returns the limit for all boxes together that follows from a server's reported limit.
 func LimitOf(l dialect.Limit) rate.Limit {
 	if l == 0 {
 		return rate.Limit{}
@@ -253,16 +256,17 @@
 	return rate.Limit{PerSecond: perSecond, Burst: minBurst + burstSpan*perSecond}
 }
 
-// EffectiveLimit is what all boxes together keep to for a server that names a limit and warms up, of which either may be none. A
-// server that warms up fails at little more than its rate: its limit has no burst that grows with it.
-func EffectiveLimit(named, warmUp dialect.Limit) rate.Limit {
-	if warmUp == 0 || lower(named, warmUp) != warmUp {
-		return LimitOf(named)
+// EffectiveLimit returns the limit for all boxes together of a server that reports a limit and is warming up; either
+// may be 0. A server that is warming up fails at little more than its rate, so that limit has no burst proportional to
+// it.
+func EffectiveLimit(reported, warmUp dialect.Limit) rate.Limit {
+	if warmUp == 0 || lower(reported, warmUp) != warmUp {
+		return LimitOf(reported)
 	}
 	return rate.Limit{PerSecond: warmUp.PerSecond(), Burst: minBurst}
 }
 
-// Exhausted returns for how long yet a server's limit admits no request of a rank (3); false where it admits one.
+// Exhausted returns how long a server's limit will admit no request of a rank (3), false if it admits one.
 func (t *Throttle) Exhausted(server string, rank int) (time.Duration, bool) {
 	if t.Limit(server) == 0 {
 		return 0, false
@@ -270,12 +274,13 @@
 	return t.opts.Limiter.Exhausted(rate.Key{Name: server, Rank: rank})
 }
 
-// Take asks the server's limit to admit an attempt of a rank (2). The refusal is nil where it does, or there is no limit.
+// Take charges an attempt of a rank to the server's limit (2). The refusal is nil if the attempt is admitted or there
+// is no limit.
 func (t *Throttle) Take(ctx context.Context, server string, rank int) (rate.Charge, *rate.Refusal) {
 	if t == nil {
 		return rate.Charge{}, nil
 	}
-	limit := EffectiveLimit(t.named(server), t.warmUp(server))
+	limit := EffectiveLimit(t.reportedLimit(server), t.warmUpLimit(server))
 	if !limit.Bounded() {
 		return rate.Charge{}, nil
 	}
@@ -288,21 +293,22 @@
 	return charge, refusal
 }
 
-// DueForProbe reports whether a server with a limit is to be tried now though others are preferred (4).
+// DueForProbe reports whether a server with a limit is to be probed now although others are preferred (4).
 func (t *Throttle) DueForProbe(server string) bool {
 	now, boxes := time.Now(), len(t.opts.View().Members)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := t.reports[server]
-	if w == nil || w.limit == 0 {
+	rep := t.reports[server]
+	if rep == nil || rep.limit == 0 {
 		return false
 	}
-	if now.Before(w.tryAt) {
+	if now.Before(rep.probeAt) {
 		return false
 	}
-	due := !w.tryAt.IsZero()
-	// Drawn, so that boxes that were told of the limit together do not try the server together.
-	mean := max(minTryInterval.Seconds(), float64(boxes)/(tryShare*w.limit.PerSecond()))
-	w.tryAt = now.Add(time.Duration(min(rand.ExpFloat64(), maxTryIntervals) * mean * float64(time.Second)))
+	due := !rep.probeAt.IsZero()
+	// The interval is random, so that boxes that received the limit simultaneously do not probe the server
+	// simultaneously.
+	mean := max(minProbeInterval.Seconds(), float64(boxes)/(probeShare*rep.limit.PerSecond()))
+	rep.probeAt = now.Add(time.Duration(min(rand.ExpFloat64(), maxProbeIntervals) * mean * float64(time.Second)))
 	return due
 }
