--- a/pushback/pushback.go
+++ b/pushback/pushback.go
@@ -1,18 +1,18 @@
-// Package pushback keeps a box to what backend servers say of themselves in their answers: that they take no more than so
-// many requests a second from all boxes (package throttle), that they want a rest from this box, that they drain.
+// Package pushback honors what backend servers report about themselves in their responses: that they accept only a
+// number of requests per second from all boxes (package throttle), that this box must back off, that they are draining.
 //
 // Rules:
 //
-//  1. A rest holds between one server and this box. It begins with a 503 that has Retry-After; of two the later end
-//     holds, whatever an answer in between says.
-//  2. While it lasts no request of any kind is sent to that server. That is asked when a server is chosen, and again right
-//     before the bytes leave: opening a connection takes time.
-//  3. When it has ended, boxes do not all begin at once: each waits for a random time, the longer the more boxes there
-//     are; the more urgent requests go first; and one request goes at a time until the server answers one without
-//     asking for rest.
-//  4. A server that says that it drains does so for its life, or for a time where its life is not known.
-//  5. Records are kept by the server's life, so that a successor begins with none.
-//  6. A rest is no failure: the server is not held to be sick.
+//  1. A backoff applies between one server and this box. It starts with a 503 that has Retry-After. Of two, the later end
+//     applies, whatever a response in between says.
+//  2. During a backoff no request of any kind is sent to the server. This is checked when a server is chosen, and again
+//     right before the request is written: opening a connection takes time.
+//  3. When a backoff has ended, boxes do not all resume at once: each waits for a random time that grows with the number
+//     of boxes, more urgent requests go first, and only one request at a time is sent until the server answers one
+//     without asking for a backoff.
+//  4. A server that reports that it is draining does so for its incarnation, or for a TTL if its incarnation is unknown.
+//  5. Records are kept by server incarnation, so that a successor starts without one.
+//  6. A backoff is not a failure and doesn't count against the server's health.
 package pushback
 
 import (
@@ -32,70 +32,71 @@
 )
 
 const (
-	// spreadPerBox is the mean time between the first requests of two boxes after a rest that ended for all of them,
-	// maxSpread the longest time that a box waits for that (3).
+	// spreadPerBox is the mean time between the first requests of two boxes after a backoff that ended for all of
+	// them. maxSpread is the longest time that a box waits for this (3).
 	spreadPerBox = 5 * time.Millisecond
 	maxSpread    = time.Second
-	// rankStep is how much later requests of the next rank may go, for maxRankSteps ranks at most (3).
+	// rankStep is the additional delay per rank of requests after a backoff, for at most maxRankSteps ranks (3).
 	rankStep     = 100 * time.Millisecond
 	maxRankSteps = 3
-	// probeEvery is the time between two requests to a server that has not answered one since its rest (3).
-	probeEvery = 250 * time.Millisecond
-	// LongBackoff is the time from which a server that asks for rest, at once or again and again, is room that is missing: other
-	// copies of its models are worth a move then.
+	// probeInterval is the time between two requests to a server that has not answered one since its backoff (3).
+	probeInterval = 250 * time.Millisecond
+	// LongBackoff is the total backoff, in one or several consecutive ones, from which a server counts as missing
+	// capacity: moves that add copies of its models elsewhere are then worthwhile.
 	LongBackoff = 10 * time.Second
-	// maxGap is the longest time between two rests that count as one: a box with few requests asks the server rarely.
-	maxGap = 5 * time.Second
-	// maxRecords bounds the servers that are remembered; those whose rest ended longer than keepFor ago go then.
+	// maxBackoffGap is the longest time between two backoffs that count as one: a box with few requests contacts the
+	// server rarely.
+	maxBackoffGap = 5 * time.Second
+	// maxRecords bounds the servers that are remembered. When it is reached, records whose backoff and draining state
+	// are older than recordTTL are dropped.
 	maxRecords = 4096
-	keepFor    = time.Minute
+	recordTTL  = time.Minute
 )
 
-// Options make a Registry.
+// Options configures a Registry.
 type Options struct {
-	// Now is a clock that goes on while the machine is suspended.
+	// Now is a clock that continues while the machine is suspended.
 	Now      func() time.Duration
 	Throttle *throttle.Throttle
-	// Boxes returns how many boxes there are.
+	// Boxes returns the number of boxes.
 	Boxes func() int
-	// OnDraining is called once for each server that says that it drains; nil where nobody is to hear. It must not block.
+	// OnDraining is called once for each server that reports that it is draining. It may be nil and must not block.
 	OnDraining func(server string)
-	// Random draws from [0, 1); nil: a source of its own.
+	// Random draws from [0, 1); nil means rand.Float64.
 	Random func() float64
 	Log    *zap.Logger
 }
 
-// Registry is what one box knows of what servers said to it.
+// Registry holds what one box knows from servers' reports.
 type Registry struct {
-	opts Options
-	some atomic.Bool // there are records
+	opts     Options
+	nonEmpty atomic.Bool // there are records
 
 	mu      sync.Mutex
 	records map[string]*record // by server
 }
 
-// record is what one server said.
+// record is what one server reported.
 type record struct {
-	rests      bool          // it asked for rest and has not answered since without
-	restsSince time.Duration // when it asked first
-	restsUntil time.Duration
-	spread     time.Duration // by which this box begins later (3)
-	request    string        // whose answer it was
-	probedAt   time.Duration // when a request was sent last since the rest; 0: none was
-
-	drains      bool
-	drainsSince time.Duration
-	drainsUntil time.Duration // 0: for its life
-	malformed   bool          // a value that cannot be read was logged
+	inBackoff    bool          // it asked for a backoff and has not answered since without asking for one
+	backoffSince time.Duration // when it first asked
+	backoffUntil time.Duration
+	spread       time.Duration // additional delay of this box after the backoff (3)
+	request      string        // the one whose response asked for it
+	probedAt     time.Duration // when a request was last sent since the backoff; 0 if none was
+
+	draining        bool
+	drainingSince   time.Duration
+	drainingUntil   time.Duration // 0: for the whole incarnation
+	malformedLogged bool          // a malformed value was logged
 }
 
-// Block tells why a server takes no request now, and for how long yet.
+// Block is the reason why a server accepts no request now, and when to retry.
 type Block struct {
 	Reason     *reason.Reason
 	RetryAfter time.Duration
 }
 
-// New returns a Registry.
 func New(opts Options) *Registry {
 	if opts.Random == nil {
 		opts.Random = rand.Float64
@@ -103,101 +104,101 @@
 	return &Registry{opts: opts, records: map[string]*record{}}
 }
 
-// Observe records what an answer to a request says of its server.
-func (r *Registry) Observe(server, request string, said dialect.Report) {
+// Observe records what the response to a request reports about its server.
+func (r *Registry) Observe(server, request string, report dialect.Report) {
 	if r == nil {
 		return
 	}
-	r.opts.Throttle.RecordReport(server, said)
-	says := said.Rest > 0 || said.Draining || said.RestErr != nil || said.DrainingErr != nil
-	if !says && !r.some.Load() {
+	r.opts.Throttle.RecordReport(server, report)
+	hasPushback := report.Rest > 0 || report.Draining || report.RestErr != nil || report.DrainingErr != nil
+	if !hasPushback && !r.nonEmpty.Load() {
 		return
 	}
-	if r.observe(server, request, said, says) && r.opts.OnDraining != nil {
+	if r.observe(server, request, report, hasPushback) && r.opts.OnDraining != nil {
 		r.opts.OnDraining(server)
 	}
 }
 
-// observe reports whether it is news that the server drains.
-func (r *Registry) observe(server, request string, said dialect.Report, says bool) (drains bool) {
+// observe returns true if the server was not known to be draining before.
+func (r *Registry) observe(server, request string, report dialect.Report, hasPushback bool) (newlyDraining bool) {
 	now := r.opts.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[server]
 	switch {
-	case rec == nil && !says:
+	case rec == nil && !hasPushback:
 		return false
 	case rec == nil:
-		rec = r.add(server, now)
+		rec = r.addRecord(server, now)
 	}
-	r.noteMalformed(rec, server, said)
+	r.logMalformed(rec, server, report)
 	switch {
-	case said.Rest > 0:
-		r.rest(rec, server, request, now, said.Rest)
-	case rec.rests && now >= rec.restsUntil:
-		rec.rests = false
-		event.ServerRested.Log(r.opts.Log, zap.String("server", server), zap.Duration("rested", rec.restsUntil-rec.restsSince), zap.Duration("late", now-rec.restsUntil))
+	case report.Rest > 0:
+		r.recordBackoff(rec, server, request, now, report.Rest)
+	case rec.inBackoff && now >= rec.backoffUntil:
+		rec.inBackoff = false
+		event.ServerRested.Log(r.opts.Log, zap.String("server", server), zap.Duration("rested", rec.backoffUntil-rec.backoffSince), zap.Duration("late", now-rec.backoffUntil))
 	}
-	return said.Draining && r.drain(rec, server, request, now, said.DrainTTL)
+	return report.Draining && r.recordDraining(rec, server, request, now, report.DrainTTL)
 }
 
-// drain is rule 4. It reports whether it is news.
-func (r *Registry) drain(rec *record, server, request string, now, ttl time.Duration) bool {
+// recordDraining implements rule 4. It returns true if the server was not known to be draining before.
+func (r *Registry) recordDraining(rec *record, server, request string, now, ttl time.Duration) bool {
 	if ttl > 0 {
-		rec.drainsUntil = now + ttl
+		rec.drainingUntil = now + ttl
 	}
-	if rec.drains {
+	if rec.draining {
 		return false
 	}
-	rec.drains, rec.drainsSince = true, now
+	rec.draining, rec.drainingSince = true, now
 	event.ServerDraining.Log(r.opts.Log, zap.String("server", server), zap.String("request", request))
 	return true
 }
 
-// rest is rule 1.
-func (r *Registry) rest(rec *record, server, request string, now, rest time.Duration) {
-	until := now + rest
-	if until <= rec.restsUntil {
+// recordBackoff implements rule 1.
+func (r *Registry) recordBackoff(rec *record, server, request string, now, backoff time.Duration) {
+	until := now + backoff
+	if until <= rec.backoffUntil {
 		return
 	}
-	if !rec.rests || now-rec.restsUntil > maxGap {
-		rec.rests, rec.restsSince, rec.request = true, now, request
-		event.ServerResting.Log(r.opts.Log, zap.String("server", server), zap.String("request", request), zap.Duration("rest", rest))
+	if !rec.inBackoff || now-rec.backoffUntil > maxBackoffGap {
+		rec.inBackoff, rec.backoffSince, rec.request = true, now, request
+		event.ServerResting.Log(r.opts.Log, zap.String("server", server), zap.String("request", request), zap.Duration("rest", backoff))
 	}
-	rec.restsUntil, rec.probedAt = until, 0
+	rec.backoffUntil, rec.probedAt = until, 0
 	rec.spread = time.Duration(r.opts.Random() * float64(min(time.Duration(r.opts.Boxes())*spreadPerBox, maxSpread)))
 }
 
-func (r *Registry) noteMalformed(rec *record, server string, said dialect.Report) {
-	for _, err := range []error{said.RestErr, said.DrainingErr} {
-		if err == nil || rec.malformed {
+func (r *Registry) logMalformed(rec *record, server string, report dialect.Report) {
+	for _, err := range []error{report.RestErr, report.DrainingErr} {
+		if err == nil || rec.malformedLogged {
 			continue
 		}
-		rec.malformed = true
+		rec.malformedLogged = true
 		event.PushbackMalformed.Log(r.opts.Log, zap.String("server", server), event.Cause(err))
 	}
 }
 
-// add makes a server's record. The caller holds the lock.
-func (r *Registry) add(server string, now time.Duration) *record {
+// addRecord creates a server's record. The caller holds the lock.
+func (r *Registry) addRecord(server string, now time.Duration) *record {
 	if len(r.records) >= maxRecords {
 		r.prune(now)
 	}
 	rec := &record{}
 	r.records[server] = rec
-	r.some.Store(true)
+	r.nonEmpty.Store(true)
 	return rec
 }
 
 func (r *Registry) prune(now time.Duration) {
 	for server, rec := range r.records {
-		if now-rec.restsUntil > keepFor && now-max(rec.drainsSince, rec.drainsUntil) > keepFor {
+		if now-rec.backoffUntil > recordTTL && now-max(rec.drainingSince, rec.drainingUntil) > recordTTL {
 			delete(r.records, server)
 		}
 	}
 }
 
-// Forget ends what is known of a server of which another life has begun under its name (5).
+// Forget drops the record of a server after a new incarnation has started under its name (5).
 func (r *Registry) Forget(server string) {
 	if r == nil {
 		return
@@ -207,76 +208,76 @@
 	delete(r.records, server)
 }
 
-// Active reports whether some server may be blocked: if not, none need be looked up.
+// Active reports whether any server may be blocked. If not, callers can skip the lookups.
 func (r *Registry) Active() bool {
-	return r != nil && (r.some.Load() || r.opts.Throttle.Active())
+	return r != nil && (r.nonEmpty.Load() || r.opts.Throttle.Active())
 }
 
-// Blocked reports whether a request of a rank must not go to a server now.
+// Blocked reports whether a request of a rank must not be sent to a server now.
 func (r *Registry) Blocked(server string, rank int) (Block, bool) {
 	if r == nil {
 		return Block{}, false
 	}
-	if after, resting := r.resting(server, rank); resting {
+	if after, inBackoff := r.backoff(server, rank); inBackoff {
 		return Block{reason.ServersResting, after}, true
 	}
-	if after, full := r.opts.Throttle.Exhausted(server, rank); full {
+	if after, exhausted := r.opts.Throttle.Exhausted(server, rank); exhausted {
 		return Block{reason.ServersLimited, after}, true
 	}
 	return Block{}, false
 }
 
-// resting returns for how long yet requests of a rank must not go to a server.
-func (r *Registry) resting(server string, rank int) (time.Duration, bool) {
-	if !r.some.Load() {
+// backoff returns how long requests of a rank must not be sent to a server.
+func (r *Registry) backoff(server string, rank int) (time.Duration, bool) {
+	if !r.nonEmpty.Load() {
 		return 0, false
 	}
 	now := r.opts.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.records[server].opens(rank, now)
+	return r.records[server].blockedFor(rank, now)
 }
 
-// opens is rules 2 and 3.
-func (rec *record) opens(rank int, now time.Duration) (after time.Duration, closed bool) {
-	if rec == nil || !rec.rests {
+// blockedFor implements rules 2 and 3.
+func (rec *record) blockedFor(rank int, now time.Duration) (after time.Duration, blocked bool) {
+	if rec == nil || !rec.inBackoff {
 		return 0, false
 	}
-	at := rec.restsUntil + rec.spread + time.Duration(min(max(rank, 0), maxRankSteps))*rankStep
+	at := rec.backoffUntil + rec.spread + time.Duration(min(max(rank, 0), maxRankSteps))*rankStep
 	if rec.probedAt > 0 {
-		at = max(at, rec.probedAt+probeEvery)
+		at = max(at, rec.probedAt+probeInterval)
 	}
 	return max(0, at-now), now < at
 }
 
-// Permit is leave to send one request to a server.
+// Permit allows sending one request to a server.
 type Permit struct {
-	r      *Registry
-	server string
-	charge rate.Charge
-	probed time.Duration // when it was taken as the request that tries the server after its rest; 0: it was not
+	registry *Registry
+	server   string
+	charge   rate.Charge
+	probedAt time.Duration // when the request was admitted as the probe after a backoff; 0 if it is no probe
 }
 
-// Release gives a permit back whose request was not sent.
+// Release returns the permit of a request that was not sent.
 func (p Permit) Release() {
 	p.charge.Release()
-	if p.probed == 0 {
+	if p.probedAt == 0 {
 		return
 	}
-	p.r.mu.Lock()
-	defer p.r.mu.Unlock()
-	if rec := p.r.records[p.server]; rec != nil && rec.probedAt == p.probed {
+	p.registry.mu.Lock()
+	defer p.registry.mu.Unlock()
+	if rec := p.registry.records[p.server]; rec != nil && rec.probedAt == p.probedAt {
 		rec.probedAt = 0
 	}
 }
 
-// Acquire asks for leave to send a request of a rank to a server; block is nil if it is given.
+// Acquire requests a permit to send a request of a rank to a server; block is nil if it is granted.
 func (r *Registry) Acquire(ctx context.Context, server string, rank int) (p Permit, block *Block) {
 	if r == nil {
 		return Permit{}, nil
 	}
-	p = Permit{r: r, server: server}
-	if p.probed, block = r.enter(server, rank); block != nil {
+	p = Permit{registry: r, server: server}
+	if p.probedAt, block = r.admit(server, rank); block != nil {
 		return Permit{}, block
 	}
 	charge, refusal := r.opts.Throttle.Take(ctx, server, rank)
@@ -288,53 +289,53 @@
 	return p, nil
 }
 
-// enter returns when the request was taken as one that tries the server after its rest, 0 if it was not.
-func (r *Registry) enter(server string, rank int) (probed time.Duration, block *Block) {
-	if !r.some.Load() {
+// admit returns when the request was admitted as the probe after a backoff, 0 if it is no probe.
+func (r *Registry) admit(server string, rank int) (probedAt time.Duration, block *Block) {
+	if !r.nonEmpty.Load() {
 		return 0, nil
 	}
 	now := r.opts.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[server]
-	if after, closed := rec.opens(rank, now); closed {
+	if after, blocked := rec.blockedFor(rank, now); blocked {
 		return 0, &Block{reason.ServersResting, after}
 	}
-	if rec == nil || !rec.rests {
+	if rec == nil || !rec.inBackoff {
 		return 0, nil
 	}
 	rec.probedAt = now
 	return now, nil
 }
 
-// Sendable reports whether bytes may leave to a server: it does not rest (2).
+// Sendable reports whether a request may be written to a server, that is, whether it is not in backoff (2).
 func (r *Registry) Sendable(server string) bool {
-	if r == nil || !r.some.Load() {
+	if r == nil || !r.nonEmpty.Load() {
 		return true
 	}
 	now := r.opts.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[server]
-	return rec == nil || now >= rec.restsUntil
+	return rec == nil || now >= rec.backoffUntil
 }
 
-// Draining reports whether a server said that it drains, and how long ago it did so first (4).
-func (r *Registry) Draining(server string) (since time.Duration, drains bool) {
-	if r == nil || !r.some.Load() {
+// Draining reports whether a server reported that it is draining, and how long ago it first did (4).
+func (r *Registry) Draining(server string) (since time.Duration, draining bool) {
+	if r == nil || !r.nonEmpty.Load() {
 		return 0, false
 	}
 	now := r.opts.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[server]
-	if rec == nil || !rec.drains || rec.drainsUntil != 0 && now >= rec.drainsUntil {
+	if rec == nil || !rec.draining || rec.drainingUntil != 0 && now >= rec.drainingUntil {
 		return 0, false
 	}
-	return now - rec.drainsSince, true
+	return now - rec.drainingSince, true
 }
 
-// Limit returns the limit that a server names, 0 for none.
+// Limit returns the limit that a server reports, or its lower warm-up limit, 0 for none.
 func (r *Registry) Limit(server string) dialect.Limit {
 	if r == nil {
 		return 0
@@ -342,12 +343,12 @@
 	return r.opts.Throttle.Limit(server)
 }
 
-// RecordUnreachable records that no connection to a server could be opened: it may be starting again.
+// RecordUnreachable records that no connection to a server could be opened: it may be restarting.
 func (r *Registry) RecordUnreachable(server string) {
 	if r != nil {
 		r.opts.Throttle.RecordUnreachable(server)
 	}
 }
 
-// DueForProbe reports whether a server with a limit is to be tried now though others are preferred.
+// DueForProbe reports whether a server with a limit is to be probed now although others are preferred.
 func (r *Registry) DueForProbe(server string) bool { return r.opts.Throttle.DueForProbe(server) }
--- a/pushback/sim_test.go
+++ b/pushback/sim_test.go
@@ -16,19 +16,19 @@
 	"leverdrum/reason"
 )
 
-// A model of boxes before servers that turn requests away and ask for rest, in simulated time.
+// A simulation of boxes whose servers reject requests and ask for a backoff, in simulated time.
 
 const (
-	// told is the time that a box has to hold to a rest, mostInRest what may reach the server from it between then and the
-	// end of the rest: what the users' rule allows.
-	told       = 500 * time.Millisecond
-	mostInRest = 2
-	// way is the time from a box to a server, and back.
-	way = time.Millisecond
-	// dials is the longest time in which a connection is opened, before which a request does not leave.
-	dials = 400 * time.Millisecond
-	// serves is how long a server takes to begin an answer.
-	serves = 50 * time.Millisecond
+	// reactionTime is the time within which a box must start to honor a backoff. At most maxInBackoff of its requests
+	// may reach the server between then and the end of the backoff. Both are the bounds of the rules.
+	reactionTime = 500 * time.Millisecond
+	maxInBackoff = 2
+	// networkDelay is the time from a box to a server, and back.
+	networkDelay = time.Millisecond
+	// maxDialTime is the longest time to open a connection, before which a request is not sent.
+	maxDialTime = 400 * time.Millisecond
+	// serviceTime is the time that a server takes to start a response.
+	serviceTime = 50 * time.Millisecond
 )
 
 type simEvent struct {
@@ -49,18 +49,18 @@
 	return x
 }
 
-// shedding is a time in which a server turns a share of all requests away.
+// shedding is a period in which a server rejects a share of all requests.
 type shedding struct {
-	from, to, rest time.Duration
-	share          float64
+	from, to, backoff time.Duration
+	share             float64
 }
 
 type simServer struct {
-	name  string
-	sheds []shedding
-	// asked are the rests that it asked each box for, arrived when requests of each box came.
-	asked   map[int][]shedding
-	arrived map[int][]time.Duration
+	name      string
+	sheddings []shedding
+	// backoffs holds the backoffs that it asked of each box, arrived the arrival times of each box's requests.
+	backoffs map[int][]shedding
+	arrived  map[int][]time.Duration
 }
 
 type simBox struct {
@@ -74,21 +74,21 @@
 	queue   simQueue
 	boxes   []*simBox
 	servers []*simServer
-	// heeds tells that boxes ask before they send.
-	heeds                   bool
-	served, refused, offers int
-	longest                 time.Duration // that a refusal named
+	// honorsBackoff means that boxes check for a backoff before they send.
+	honorsBackoff            bool
+	served, refused, offered int
+	longestRetryAfter        time.Duration // of all refusals
 }
 
 func newSim(seed uint64, boxes, servers int) *sim {
-	s := &sim{random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, heeds: true}
+	s := &sim{random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, honorsBackoff: true}
 	for i := range boxes {
 		b := &simBox{id: i}
 		b.Registry = New(Options{Now: func() time.Duration { return s.now }, Boxes: func() int { return boxes }, Random: s.random.Float64, Log: zap.NewNop()})
 		s.boxes = append(s.boxes, b)
 	}
 	for i := range servers {
-		s.servers = append(s.servers, &simServer{name: fmt.Sprint("s", i), asked: map[int][]shedding{}, arrived: map[int][]time.Duration{}})
+		s.servers = append(s.servers, &simServer{name: fmt.Sprint("s", i), backoffs: map[int][]shedding{}, arrived: map[int][]time.Duration{}})
 	}
 	return s
 }
@@ -103,81 +103,81 @@
 	}
 }
 
-// offer has requests come to all boxes together, so many a second.
+// offer generates requests to all boxes together, at a rate per second.
 func (s *sim) offer(perSecond float64, until time.Duration) {
 	s.after(time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if s.now > until {
 			return
 		}
-		s.offers++
+		s.offered++
 		s.send(s.boxes[s.random.IntN(len(s.boxes))], s.random.IntN(4), 3)
 		s.offer(perSecond, until)
 	})
 }
 
-// send makes an attempt of a request, of which so many are left.
+// send makes an attempt of a request that has the given number of attempts left.
 func (s *sim) send(b *simBox, rank, left int) {
 	var open []*simServer
 	first := time.Duration(-1)
 	for _, v := range s.servers {
 		block, blocked := b.Blocked(v.name, rank)
-		if !blocked || !s.heeds {
+		if !blocked || !s.honorsBackoff {
 			open = append(open, v)
 		} else if first < 0 || block.RetryAfter < first {
 			first = block.RetryAfter
 		}
 	}
-	if len(open) == 0 || left == 0 { // at once
+	if len(open) == 0 || left == 0 { // refused immediately
 		s.refused++
-		s.longest = max(s.longest, first)
+		s.longestRetryAfter = max(s.longestRetryAfter, first)
 		return
 	}
 	v := open[s.random.IntN(len(open))]
 	permit, block := b.Acquire(context.Background(), v.name, rank)
-	if block != nil && s.heeds {
+	if block != nil && s.honorsBackoff {
 		s.send(b, rank, left)
 		return
 	}
 	dial := time.Duration(0)
 	if s.random.IntN(10) == 0 {
-		dial = time.Duration(s.random.Int64N(int64(dials)))
+		dial = time.Duration(s.random.Int64N(int64(maxDialTime)))
 	}
 	s.after(dial, func() {
-		if s.heeds && !b.Sendable(v.name) {
+		if s.honorsBackoff && !b.Sendable(v.name) {
 			permit.Release()
 			s.send(b, rank, left)
 			return
 		}
-		s.after(way, func() { s.arrive(b, v, rank, left) })
+		s.after(networkDelay, func() { s.arrive(b, v, rank, left) })
 	})
 }
 
 func (s *sim) arrive(b *simBox, v *simServer, rank, left int) {
 	v.arrived[b.id] = append(v.arrived[b.id], s.now)
-	for _, shed := range v.sheds {
+	for _, shed := range v.sheddings {
 		if s.now >= shed.from && s.now < shed.to && s.random.Float64() < shed.share {
-			v.asked[b.id] = append(v.asked[b.id], shedding{from: s.now, to: s.now + shed.rest})
-			s.after(way, func() {
-				b.Observe(v.name, "r", dialect.Report{Rest: shed.rest})
+			v.backoffs[b.id] = append(v.backoffs[b.id], shedding{from: s.now, to: s.now + shed.backoff})
+			s.after(networkDelay, func() {
+				b.Observe(v.name, "r", dialect.Report{Rest: shed.backoff})
 				s.send(b, rank, left-1)
 			})
 			return
 		}
 	}
-	s.after(serves+way, func() {
+	s.after(serviceTime+networkDelay, func() {
 		b.Observe(v.name, "r", dialect.Report{})
 		s.served++
 	})
 }
 
-// mostInOneRest is the most requests that reached a server from a box within a rest.
-func (s *sim) mostInOneRest() (most int) {
+// maxRequestsInBackoff returns the highest number of requests from one box that reached a server within a backoff.
+func (s *sim) maxRequestsInBackoff() (most int) {
 	for _, v := range s.servers {
-		for box, rests := range v.asked {
-			for _, rest := range rests {
+		for box, backoffs := range v.backoffs {
+			for _, backoff := range backoffs {
 				n := 0
 				for _, at := range v.arrived[box] {
-					if at > rest.from+told && at < rest.to {
+					if at > backoff.from+reactionTime && at < backoff.to {
 						n++
 					}
 				}
@@ -188,9 +188,10 @@
 	return most
 }
 
-// In no history do more requests of a box reach a server within a rest than the rule allows; all servers get work again
-// after their last one; and what no server takes is refused with a time that is no longer than the rests.
-func TestNoHistoryBreaksARest(t *testing.T) {
+// Random load and rejections: no more requests of a box reach a server within a backoff than the rules allow, all
+// servers get requests again after their last backoff, and a request that no server accepts is refused with a retry
+// time bounded by the longest backoff plus the delays after it.
+func TestBackoffHoldsUnderRandomLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		boxes := rapid.SampledFrom([]int{1, 3, 10, 65}).Draw(t, "boxes")
@@ -198,21 +199,21 @@
 		start := s.now
 		longest := time.Duration(0)
 		for _, v := range s.servers {
-			for range rapid.IntRange(0, 3).Draw(t, "sheds") {
+			for range rapid.IntRange(0, 3).Draw(t, "sheddings") {
 				from := start + time.Duration(rapid.IntRange(0, 12000).Draw(t, "from"))*time.Millisecond
 				shed := shedding{
 					from: from, to: from + time.Duration(rapid.IntRange(100, 8000).Draw(t, "for"))*time.Millisecond,
-					rest: time.Duration(rapid.IntRange(50, 6000).Draw(t, "rest")) * time.Millisecond, share: rapid.SampledFrom([]float64{1, 0.33, 0.1}).Draw(t, "share"),
+					backoff: time.Duration(rapid.IntRange(50, 6000).Draw(t, "backoff")) * time.Millisecond, share: rapid.SampledFrom([]float64{1, 0.33, 0.1}).Draw(t, "share"),
 				}
-				v.sheds = append(v.sheds, shed)
-				longest = max(longest, shed.rest)
+				v.sheddings = append(v.sheddings, shed)
+				longest = max(longest, shed.backoff)
 			}
 		}
 		end := start + 40*time.Second
 		s.offer(20+10*float64(boxes), end)
 		s.run(end + 5*time.Second)
-		g.Expect(s.mostInOneRest()).To(BeNumerically("<=", mostInRest))
-		g.Expect(s.longest).To(BeNumerically("<=", longest+maxSpread+maxRankSteps*rankStep+probeEvery))
+		g.Expect(s.maxRequestsInBackoff()).To(BeNumerically("<=", maxInBackoff))
+		g.Expect(s.longestRetryAfter).To(BeNumerically("<=", longest+maxSpread+maxRankSteps*rankStep+probeInterval))
 		for _, v := range s.servers {
 			late := 0
 			for _, list := range v.arrived {
@@ -222,32 +223,32 @@
 					}
 				}
 			}
-			g.Expect(late).To(BeNumerically(">", 0), "%s lies idle", v.name)
+			g.Expect(late).To(BeNumerically(">", 0), "%s gets no requests", v.name)
 		}
 	})
 }
 
-// The rule is not kept by chance: boxes that do not ask break it.
-func TestBoxesThatDoNotAskBreakRests(t *testing.T) {
+// Boxes that ignore backoffs exceed the bound, so the bound is not met by chance.
+func TestIgnoredBackoffExceedsBound(t *testing.T) {
 	s := newSim(1, 3, 2)
-	s.heeds = false
-	s.servers[0].sheds = []shedding{{from: s.now + time.Second, to: s.now + 5*time.Second, rest: 3 * time.Second, share: 1}}
+	s.honorsBackoff = false
+	s.servers[0].sheddings = []shedding{{from: s.now + time.Second, to: s.now + 5*time.Second, backoff: 3 * time.Second, share: 1}}
 	end := s.now + 10*time.Second
 	s.offer(60, end)
 	s.run(end)
-	NewWithT(t).Expect(s.mostInOneRest()).To(BeNumerically(">", mostInRest))
+	NewWithT(t).Expect(s.maxRequestsInBackoff()).To(BeNumerically(">", maxInBackoff))
 }
 
-// A rest that ends for all boxes in the same instant brings no peak: in each tenth of a second after it no more requests reach
-// the server than in a usual one, beyond what chance gives.
-func TestTheEndOfARestIsNoStartSignal(t *testing.T) {
+// A backoff that ends for all boxes simultaneously causes no peak: in each tenth of a second after it the server gets
+// no more requests than usual, apart from random variation.
+func TestNoRequestPeakAfterBackoff(t *testing.T) {
 	for _, boxes := range []int{10, 65, 300} {
 		g := NewWithT(t)
 		s := newSim(7, boxes, 2)
 		start := s.now
-		const rest = 3 * time.Second
+		const backoff = 3 * time.Second
 		for _, b := range s.boxes {
-			b.Observe("s0", "r", dialect.Report{Rest: rest})
+			b.Observe("s0", "r", dialect.Report{Rest: backoff})
 		}
 		perSecond := 10 * float64(boxes)
 		s.offer(perSecond, start+20*time.Second)
@@ -261,7 +262,7 @@
 		}
 		usual := perSecond / 2 * slice.Seconds()
 		peak, first, reached := 0, -1, -1
-		for i := range int((rest + 3*time.Second) / slice) {
+		for i := range int((backoff + 3*time.Second) / slice) {
 			peak = max(peak, counts[i])
 			if counts[i] > 0 && first < 0 {
 				first = i
@@ -270,21 +271,21 @@
 				reached = i
 			}
 		}
-		t.Logf("%d boxes: usual %.0f a tenth of a second, most %d in the 3 s after the rest; first after %v, half of the usual after %v",
-			boxes, usual, peak, time.Duration(first)*slice-rest, time.Duration(reached)*slice-rest)
+		t.Logf("%d boxes: usually %.0f per tenth of a second, at most %d in the 3 s after the backoff; first after %v, half the usual rate after %v",
+			boxes, usual, peak, time.Duration(first)*slice-backoff, time.Duration(reached)*slice-backoff)
 		g.Expect(float64(peak)).To(BeNumerically("<=", 1.5*usual+8))
-		g.Expect(time.Duration(first) * slice).To(BeNumerically("<=", rest+time.Second))
-		g.Expect(time.Duration(reached) * slice).To(BeNumerically("<=", rest+2*time.Second))
-		g.Expect(s.refused).To(BeZero(), "the other server has room")
+		g.Expect(time.Duration(first) * slice).To(BeNumerically("<=", backoff+time.Second))
+		g.Expect(time.Duration(reached) * slice).To(BeNumerically("<=", backoff+2*time.Second))
+		g.Expect(s.refused).To(BeZero(), "the other server has capacity")
 	}
 }
 
-// Where all servers rest, requests are refused at once.
-func TestWhenAllRestRequestsAreRefusedAtOnce(t *testing.T) {
+// When all servers are in backoff, requests are refused immediately.
+func TestAllServersInBackoffRefuseImmediately(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(10)
+	w := newFixture(10)
 	for _, server := range []string{"a", "b"} {
-		w.turnedAway(server, "2")
+		w.reject(server, "2")
 	}
 	for _, server := range []string{"a", "b"} {
 		_, block := w.Acquire(context.Background(), server, 0)
