--- a/workspace/quota.go
+++ b/workspace/quota.go
@@ -7,30 +7,30 @@
 	"leverdrum/reason"
 )
 
-// Unit is what a quota is counted in.
+// Unit is the unit of a quota.
 type Unit string
 
-// The units.
+// Units of a quota.
 const (
 	Requests Unit = "requests"
 	Tokens   Unit = "tokens"
 )
 
-// Quota bounds what a workspace is served, over all boxes together.
+// Quota bounds what a workspace is served by all boxes together.
 type Quota struct {
 	Unit Unit
-	// Rate is in units a second; 0: no limit.
+	// Rate is in units per second; 0 means no limit.
 	Rate float64
 	// Burst is what may be served beyond the rate, in units.
 	Burst float64
-	// DefaultTokens is what a request without a count weighs, in tokens.
+	// DefaultTokens is the weight of a request without a count, in tokens.
 	DefaultTokens float64
 }
 
-// Limit is what all boxes together keep to, in the quota's unit.
+// Limit returns the limit for all boxes together, in the quota's unit.
 func (q Quota) Limit() rate.Limit { return rate.Limit{PerSecond: q.Rate, Burst: q.Burst} }
 
-// RefusalReason is what callers are told where a quota does not bear their request.
+// RefusalReason returns the reason that callers receive when a quota does not admit their request.
 func RefusalReason(r *rate.Refusal) *reason.Reason {
 	switch {
 	case r.TooLarge:
@@ -41,19 +41,19 @@
 	return reason.QuotaUnsure
 }
 
-// Usage is what a request says of its size.
+// Usage is the size of a request, as the request specifies it.
 type Usage struct {
-	// Tokens are those of the prompt and the most that may be produced.
+	// Tokens is the sum of the prompt tokens and the maximum of output tokens.
 	Tokens float64
-	// Known reports whether the request says so in a way that can be read.
+	// Known reports whether the request specifies valid counts.
 	Known bool
 }
 
-// maxTokens bounds what one request can weigh, in tokens: more than any server holds, and so little
-// that sums of it stay exact.
+// maxTokens bounds the weight of one request, in tokens: more than any server can process, and small enough for sums
+// to stay exact.
 const maxTokens = 1 << 40
 
-// NewUsage makes the usage of a request from its two counts (6).
+// NewUsage returns the usage of a request with the given input and output counts (6).
 func NewUsage(in, out float64) Usage {
 	sum := in + out
 	if math.IsNaN(sum) || in < 0 || out < 0 {
@@ -62,7 +62,7 @@
 	return Usage{Tokens: min(sum, maxTokens), Known: true}
 }
 
-// Weigh returns what a request takes of the quota, in its unit (6).
+// Weigh returns the weight of a request in the quota's unit (6).
 func (q Quota) Weigh(u Usage) float64 {
 	switch {
 	case q.Unit != Tokens:
--- a/workspace/workspace_test.go
+++ b/workspace/workspace_test.go
@@ -7,19 +7,19 @@
 	. "github.com/onsi/gomega"
 )
 
-func keysOf(keys ...string) (list []Digest) {
+func digestsOf(keys ...string) (list []Digest) {
 	for _, k := range keys {
 		list = append(list, DigestOf(k))
 	}
 	return list
 }
 
-func TestAKeyOpensItsWorkspaceOnly(t *testing.T) {
+func TestKeyAuthorizesOnlyItsWorkspace(t *testing.T) {
 	g := NewWithT(t)
-	atelier := &Workspace{Name: "atelier", Keys: keysOf("key-of-atelier-1", "key-of-atelier-2")}
-	library := &Workspace{Name: "library", Keys: keysOf("key-of-library")}
-	b, clashes := NewRegistry([]*Workspace{atelier, library})
-	g.Expect(clashes).To(BeEmpty())
+	atelier := &Workspace{Name: "atelier", Keys: digestsOf("key-of-atelier-1", "key-of-atelier-2")}
+	library := &Workspace{Name: "library", Keys: digestsOf("key-of-library")}
+	registry, conflicts := NewRegistry([]*Workspace{atelier, library})
+	g.Expect(conflicts).To(BeEmpty())
 	for _, c := range []struct {
 		name   string
 		keys   []string
@@ -27,44 +27,44 @@
 		want   *Workspace
 		ok     bool
 	}{
-		{"its own", []string{"key-of-atelier-1"}, false, atelier, true},
-		{"its second", []string{"key-of-atelier-2"}, false, atelier, true},
-		{"another's", []string{"key-of-library"}, false, library, true},
-		{"none", nil, false, nil, false},
-		{"empty", []string{""}, false, nil, false},
-		{"unknown", []string{"key-of-nobody"}, false, nil, false},
-		{"twice the same", []string{"key-of-library", "key-of-library"}, false, nil, false},
-		{"two", []string{"key-of-library", "key-of-atelier-1"}, false, nil, false},
-		{"with a blank", []string{"key-of-library "}, false, nil, false},
-		{"odd bytes", []string{"\x00\xff\r"}, false, nil, false},
+		{"own key", []string{"key-of-atelier-1"}, false, atelier, true},
+		{"second own key", []string{"key-of-atelier-2"}, false, atelier, true},
+		{"key of another workspace", []string{"key-of-library"}, false, library, true},
+		{"no key", nil, false, nil, false},
+		{"empty key", []string{""}, false, nil, false},
+		{"unknown key", []string{"key-of-nobody"}, false, nil, false},
+		{"same key twice", []string{"key-of-library", "key-of-library"}, false, nil, false},
+		{"two keys", []string{"key-of-library", "key-of-atelier-1"}, false, nil, false},
+		{"trailing space", []string{"key-of-library "}, false, nil, false},
+		{"arbitrary bytes", []string{"\x00\xff\r"}, false, nil, false},
 		{"16 KB", []string{strings.Repeat("k", 16<<10)}, false, nil, false},
-		{"its digest", []string{DigestOf("key-of-library").Encode()}, false, nil, false},
-		{"none on a public route", nil, true, nil, true},
-		{"unknown on a public route", []string{"key-of-nobody"}, true, nil, true},
-		{"known on a public route", []string{"key-of-library"}, true, library, true},
+		{"digest of a key", []string{DigestOf("key-of-library").Encode()}, false, nil, false},
+		{"no key on a public route", nil, true, nil, true},
+		{"unknown key on a public route", []string{"key-of-nobody"}, true, nil, true},
+		{"known key on a public route", []string{"key-of-library"}, true, library, true},
 	} {
-		w, ok := b.Authorize(c.keys, c.public)
+		w, ok := registry.Authorize(c.keys, c.public)
 		g.Expect(w).To(BeIdenticalTo(c.want), c.name)
 		g.Expect(ok).To(Equal(c.ok), c.name)
 	}
 }
 
-func TestWithoutWorkspacesNobodyNeedsAKey(t *testing.T) {
+func TestNoKeyRequiredWithoutWorkspaces(t *testing.T) {
 	g := NewWithT(t)
-	b, _ := NewRegistry(nil)
-	w, ok := b.Authorize([]string{"any", "two"}, false)
+	registry, _ := NewRegistry(nil)
+	w, ok := registry.Authorize([]string{"any", "two"}, false)
 	g.Expect(w).To(BeNil())
 	g.Expect(ok).To(BeTrue())
 }
 
-func TestAKeyThatTwoHoldIsNamedWithBoth(t *testing.T) {
+func TestKeyConflictNamesBothWorkspaces(t *testing.T) {
 	g := NewWithT(t)
-	_, clashes := NewRegistry([]*Workspace{{Name: "one", Keys: keysOf("the-same-key")}, {Name: "two", Keys: keysOf("the-same-key")}})
-	g.Expect(clashes).To(HaveLen(1))
-	g.Expect(clashes[0].String()).To(And(ContainSubstring("one"), ContainSubstring("two"), Not(ContainSubstring("the-same-key"))))
+	_, conflicts := NewRegistry([]*Workspace{{Name: "one", Keys: digestsOf("the-same-key")}, {Name: "two", Keys: digestsOf("the-same-key")}})
+	g.Expect(conflicts).To(HaveLen(1))
+	g.Expect(conflicts[0].String()).To(And(ContainSubstring("one"), ContainSubstring("two"), Not(ContainSubstring("the-same-key"))))
 }
 
-func TestAFileHoldsKeysOrTheirDigests(t *testing.T) {
+func TestParseKey(t *testing.T) {
 	g := NewWithT(t)
 	plain, err := ParseKey("a-key-of-some-length")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -81,7 +81,7 @@
 	g.Expect(NewKey()).NotTo(Equal(NewKey()))
 }
 
-func TestTheWorkspacesUrgencyGoesBeforeTheRequests(t *testing.T) {
+func TestWorkspaceUrgencyTakesPrecedence(t *testing.T) {
 	g := NewWithT(t)
 	first, second := &Workspace{Urgency: 0}, &Workspace{Urgency: 1}
 	g.Expect(first.RequestUrgency(2)).To(BeNumerically("<", second.RequestUrgency(0)))
@@ -91,7 +91,7 @@
 	g.Expect((&Workspace{Urgency: -1}).RequestUrgency(-1)).To(Equal(0))
 }
 
-func TestWhatRequestsWeigh(t *testing.T) {
+func TestRequestWeights(t *testing.T) {
 	g := NewWithT(t)
 	tokens := Quota{Unit: Tokens, DefaultTokens: 200}
 	for _, c := range []struct {
@@ -100,28 +100,28 @@
 		u    Usage
 		want float64
 	}{
-		{"a request counts as one", Quota{Unit: Requests}, NewUsage(1000, 10), 1},
-		{"no unit is requests", Quota{}, NewUsage(1000, 10), 1},
+		{"one per request", Quota{Unit: Requests}, NewUsage(1000, 10), 1},
+		{"unit defaults to requests", Quota{}, NewUsage(1000, 10), 1},
 		{"both counts", tokens, NewUsage(1000, 10), 1010},
-		{"none told", tokens, Usage{}, 200},
-		{"below zero", tokens, NewUsage(-5, 10), 200},
-		{"huge", tokens, NewUsage(1e300, 1e300), maxTokens},
-		{"nothing", tokens, NewUsage(0, 0), 0},
+		{"counts missing", tokens, Usage{}, 200},
+		{"negative count", tokens, NewUsage(-5, 10), 200},
+		{"huge counts", tokens, NewUsage(1e300, 1e300), maxTokens},
+		{"zero", tokens, NewUsage(0, 0), 0},
 	} {
 		g.Expect(c.q.Weigh(c.u)).To(Equal(c.want), c.name)
 	}
 }
 
-// A look-up by key is on the path of each request.
-func TestALookUpAllocatesNothing(t *testing.T) {
-	b, key := largeBook()
-	if n := testing.AllocsPerRun(100, func() { b.Authorize(key, false) }); n > 0 {
+// Every request does a lookup by key.
+func TestLookupDoesNotAllocate(t *testing.T) {
+	registry, key := largeRegistry()
+	if n := testing.AllocsPerRun(100, func() { registry.Authorize(key, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// largeBook has 2,000 workspaces of 20 keys.
-func largeBook() (*Registry, []string) {
+// largeRegistry has 2,000 workspaces with 20 keys each.
+func largeRegistry() (*Registry, []string) {
 	var list []*Workspace
 	for range 2000 {
 		w := &Workspace{Name: NewKey()}
@@ -132,24 +132,24 @@
 	}
 	key := NewKey()
 	list[1000].Keys = append(list[1000].Keys, DigestOf(key))
-	b, _ := NewRegistry(list)
-	return b, []string{key}
+	registry, _ := NewRegistry(list)
+	return registry, []string{key}
 }
 
 func BenchmarkLookUp(b *testing.B) {
-	book, key := largeBook()
+	registry, key := largeRegistry()
 	for b.Loop() {
-		book.Authorize(key, false)
+		registry.Authorize(key, false)
 	}
 }
 
-func FuzzAdmit(f *testing.F) {
-	b, _ := NewRegistry([]*Workspace{{Name: "one", Keys: keysOf("the-only-key")}})
+func FuzzAuthorize(f *testing.F) {
+	registry, _ := NewRegistry([]*Workspace{{Name: "one", Keys: digestsOf("the-only-key")}})
 	f.Add("the-only-key")
 	f.Add("")
 	f.Add("sha256:00")
 	f.Fuzz(func(t *testing.T, key string) {
-		w, ok := b.Authorize([]string{key}, false)
+		w, ok := registry.Authorize([]string{key}, false)
 		if ok != (key == "the-only-key") || ok != (w != nil) {
 			t.Errorf("%q: %v", key, ok)
 		}
