--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -258,7 +258,7 @@
 mutant two-keys-open workspace/workspace.go 's/if len\(keys\) == 1 \{/if len(keys) > 0 {/' workspace 'TestKeyAuthorizes'
 mutant key-passed-on gateway/job.go 's/\t\th.Del\(d.Key\)\n//' gateway 'TestAServerIsTold'
 mutant callers-word-of-workspace dialect/dialect.go 's/d.Fetch, d.Workspace\}/d.Fetch}/' gateway 'TestAPublicRoute'
-mutant keys-shown fleet/redact.go 's/pairs = append\(pairs, key, d.Line\(\)\)/_ = d/' fleet 'TestWhatIsShown'
+mutant keys-shown fleet/redact.go 's/pairs = append\(pairs, key, d.Encode\(\)\)/_ = d/' fleet 'TestWhatIsShown'
 mutant key-in-fault workspace/key.go 's/key has %d bytes, want %d to %d", len\(text\)/key %s has %d bytes, want %d to %d", text, len(text)/' fleet 'TestFaultyWorkspaces'
 mutant leases-for-good rate/limiter.go 's/now < x.expiresAt/true/g' rate 'TestLeaseExpires|TestQuotaHolds|TestServerLimitHolds'
 mutant part-is-whole rate/lessor.go 's/return min\(1, float64\(len\(l.requesters\)\).*\n/return 1\n/' rate 'TestQuotaHolds|TestServerLimitHolds'
