--- a/consensus/consensus_test.go
+++ b/consensus/consensus_test.go
@@ -12,34 +12,34 @@
 	"leverdrum/wire"
 )
 
-// stepsPerRun is how many failures and events one run goes through.
+// stepsPerRun is the number of failures and events of one run.
 const stepsPerRun = 2000
 
-// TestAgreementUnderFailure drives three voters and three boxes without disks
-// through crashes, lost disks, one-way cuts, freezes, lost, doubled and
-// reordered messages, changes of voters, compaction and transfers. It checks
-// that a term has one leader, that what is agreed stays agreed and the same
-// everywhere, that reads are linearizable, that no two leases overlap, and that
-// a leader comes once the failures end.
-func TestAgreementUnderFailure(t *testing.T) {
-	total, changes, heard := 0, 0, 0
+// Drives three voters and three diskless boxes through crashes, lost disks,
+// one-way partitions, freezes, lost, duplicated and reordered messages, changes
+// of voters, compaction and leadership transfers. Checks that a term has one
+// leader, that committed entries stay committed and are the same on all nodes,
+// that reads are linearizable, that no two leases overlap, and that a leader is
+// elected once the failures end.
+func TestConsensusUnderFailure(t *testing.T) {
+	total, changes, provenCommits := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(rt, 3, 3)
 		for range stepsPerRun {
 			s.step()
 		}
 		s.heal()
-		total += len(s.agreed)
+		total += len(s.committed)
 		changes += s.changes
-		heard += s.heard
+		provenCommits += s.provenCommits
 	})
 	g := NewWithT(t)
-	g.Expect(total).To(BeNumerically(">", 1000), "the runs must agree on something, or they prove nothing")
+	g.Expect(total).To(BeNumerically(">", 1000), "the runs must commit entries, or they prove nothing")
 	g.Expect(changes).To(BeNumerically(">", 50), "the runs must change voters")
-	g.Expect(heard).To(BeNumerically(">", 20), "the runs must learn what is agreed by words")
+	g.Expect(provenCommits).To(BeNumerically(">", 20), "the runs must find committed entries by log positions")
 }
 
-// TestFiveVoters is the same with five voters.
+// The same with five voters.
 func TestFiveVoters(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newSim(rt, 5, 2)
@@ -64,7 +64,7 @@
 	n.Tick(time.Hour)
 	g.Expect(n.Role()).To(Equal(consensus.Follower), "a box that is no voter must not campaign (1.6)")
 	n.Receive(time.Hour, &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, From: "b1/0", To: "b0/old", Term: 9, Index: 99, LogTerm: 9})
-	g.Expect(n.TakeOutput().Messages).To(BeEmpty(), "a vote asked of the old incarnation must not be answered (5.1)")
+	g.Expect(n.TakeOutput().Messages).To(BeEmpty(), "a vote request to the old incarnation must not be answered (5.1)")
 }
 
 func TestVotes(t *testing.T) {
@@ -75,23 +75,23 @@
 		ask   *wire.Message
 		grant bool
 	}{
-		"granted after silence": {
+		"granted without a leader": {
 			at: long, ask: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: 5, Index: 1, LogTerm: 1}, grant: true,
 		},
-		"not right after a start (1.5)": {
+		"denied right after a start (1.5)": {
 			at: time.Millisecond, ask: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: 5, Index: 1, LogTerm: 1},
 		},
-		"right after a start when the leader asks (1.4)": {
+		"granted right after a start if the leader asks (1.4)": {
 			at: time.Millisecond, ask: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: 5, Index: 1, LogTerm: 1, Transfer: true}, grant: true,
 		},
-		"not to a shorter log (1.3)": {
+		"denied to a shorter log (1.3)": {
 			at: long, ask: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: 5, Index: 0, LogTerm: 0},
 		},
-		"not twice a term (1.2)": {
+		"denied a second time in a term (1.2)": {
 			at: long, first: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, From: "b2/0", Term: 5, Index: 1, LogTerm: 1},
 			ask: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: 5, Index: 1, LogTerm: 1},
 		},
-		"not while a leader is heard (1.4)": {
+		"denied while a leader is active (1.4)": {
 			at: long, first: &wire.Message{Type: wire.MessageType_MESSAGE_APPEND, From: "b2/0", Term: 4, Index: 1, LogTerm: 1},
 			ask: &wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: 5, Index: 9, LogTerm: 4},
 		},
@@ -114,8 +114,8 @@
 	}
 }
 
-// leadOf3 returns a node that b1 elected in the term behind its own, with the
-// round in which it will first be answered.
+// leadOf3 returns a node of three that b1's vote made leader in the term after
+// the given one.
 func leadOf3(t *testing.T, term uint64, entries ...*wire.Entry) *consensus.Node {
 	n := consensus.New(options("b0/0"), 0, &wire.HardState{Term: term}, formed("b0/0", "b1/0", "b2/0"), entries)
 	n.Tick(time.Hour)
@@ -140,7 +140,7 @@
 	return round
 }
 
-func TestEntryOfAnOldTermIsNotAgreedByCount(t *testing.T) {
+func TestEntryOfAnOldTermIsNotCommittedByCount(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3, &wire.Entry{Index: 2, Term: 2, Kind: wire.EntryKind_ENTRY_COMMAND})
 	round := roundOf(n.TakeOutput())
@@ -150,8 +150,8 @@
 	g.Expect(n.Commit()).To(BeEquivalentTo(3))
 }
 
-// TestChangeNeedsBothMajorities: the random runs meet the lack of a joint
-// configuration too rarely (scripts/mutants.sh no-joint passed them).
+// The random runs rarely detect a missing joint configuration: the mutant
+// no-joint of scripts/mutants.sh passed them.
 func TestChangeNeedsBothMajorities(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3)
@@ -176,12 +176,12 @@
 	n.TakeOutput()
 	g.Expect(n.Read(7)).To(Succeed())
 	out := n.TakeOutput()
-	g.Expect(out.Reads).To(BeEmpty(), "no quorum has answered since the read came (3.2)")
+	g.Expect(out.Reads).To(BeEmpty(), "no quorum has answered a round since the read arrived (3.2)")
 	answer(n, time.Hour, 2, roundOf(out))
 	g.Expect(n.TakeOutput().Reads).To(HaveLen(1))
 }
 
-func TestLeaseCountsFromTheSending(t *testing.T) {
+func TestLeaseStartsBeforeTheRoundIsSent(t *testing.T) {
 	g := NewWithT(t)
 	n := leadOf3(t, 3)
 	round := roundOf(n.TakeOutput())
@@ -189,7 +189,7 @@
 	answer(n, late, 2, round)
 	age, held := n.LeaseAge(late)
 	g.Expect(held).To(BeTrue())
-	g.Expect(age).To(Equal(lease/2), "the age counts from before the sending (4.1)")
+	g.Expect(age).To(Equal(lease/2), "the age counts from before the round is sent (4.1)")
 	_, held = n.LeaseAge(time.Hour + lease)
 	g.Expect(held).To(BeFalse())
 }
@@ -200,20 +200,20 @@
 	answer(n, time.Hour, 2, roundOf(n.TakeOutput()))
 	g.Expect(n.Transfer()).To(BeTrue())
 	_, held := n.LeaseAge(time.Hour)
-	g.Expect(held).To(BeFalse(), "another may lead from now on (4.3)")
+	g.Expect(held).To(BeFalse(), "another voter may lead from now on (4.3)")
 	_, _, err := n.Propose([]byte("x"))
 	g.Expect(err).To(MatchError(consensus.ErrNotLeader))
 	for at := time.Hour; at <= time.Hour+election; at += heartbeat {
 		n.Tick(at)
 		answer(n, at, 2, roundOf(n.TakeOutput()))
 	}
-	g.Expect(n.Role()).To(Equal(consensus.Follower), "a transfer that nobody took up must end (4.3)")
+	g.Expect(n.Role()).To(Equal(consensus.Follower), "a transfer that no voter took up must end (4.3)")
 }
 
-// The change of voters that some tests are in the midst of.
+// The change of voters that some tests are in the middle of.
 var old, next = []string{"b0/0", "b1/0", "b2/0"}, []string{"b1/0", "b2/0", "s1/0"}
 
-// changeOfVoters returns its two entries, behind a snapshot at index 1.
+// changeOfVoters returns the two entries of the change, after a snapshot at index 1.
 func changeOfVoters(t *testing.T) (list []*wire.Entry) {
 	for i, c := range []*wire.Config{{Voters: next, Outgoing: old}, {Voters: next}} {
 		data, err := proto.Marshal(c)
@@ -229,11 +229,12 @@
 	g := NewWithT(t)
 	n := consensus.New(options("b0/0"), 0, &wire.HardState{Term: 1}, formed(old...), changeOfVoters(t))
 	n.Tick(time.Hour)
-	g.Expect(n.Role()).To(Equal(consensus.PreCandidate), "nobody else may hold the newest configuration (1.6)")
+	g.Expect(n.Role()).To(Equal(consensus.PreCandidate), "no other node may hold the newest configuration (1.6)")
 }
 
-// TestReplacedVoterIsNeededUntilTheChangeEnds: a process test killed the second
-// voter while the first one's replacement was shown and not yet agreed.
+// A replacement must not be reported before the change is committed: a process
+// test killed the second voter while the first one's replacement was reported but
+// not yet committed.
 func TestReplacedVoterIsNeededUntilTheChangeEnds(t *testing.T) {
 	g := NewWithT(t)
 	entries := changeOfVoters(t)
@@ -257,7 +258,7 @@
 	}
 }
 
-func TestSingleVoterAgreesAlone(t *testing.T) {
+func TestSingleVoterCommitsAlone(t *testing.T) {
 	g := NewWithT(t)
 	n := consensus.New(options("b0/0"), 0, &wire.HardState{Term: 1}, formed("b0/0"), nil)
 	n.Tick(time.Hour)
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -5,14 +5,14 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("consensus")
 
-// What a node answers instead of acting.
+// Errors that a Node returns.
 var (
-	// ErrNotLeader: the node does not lead, or not yet, or not any more.
-	ErrNotLeader = Error.New("this member does not lead")
+	// ErrNotLeader: the node is not the leader, not yet ready to serve as one, or about to hand over.
+	ErrNotLeader = Error.New("this member is not the leader")
 	// ErrChangeInProgress: another change of the voters is not finished.
-	ErrChangeInProgress = Error.New("a change of the voters is under way")
-	// ErrNoVoters: a change to no voters at all was asked for.
+	ErrChangeInProgress = Error.New("a change of the voters is in progress")
+	// ErrNoVoters: the requested configuration has no voters.
 	ErrNoVoters = Error.New("a configuration needs at least one voter")
-	// ErrCompactRange: the index is not agreed yet, or already compacted.
-	ErrCompactRange = Error.New("only the agreed log behind the last snapshot can be compacted")
+	// ErrCompactRange: the index is not committed yet, or already compacted.
+	ErrCompactRange = Error.New("only committed entries after the last snapshot can be compacted")
 )
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -10,7 +10,7 @@
 	"leverdrum/wire"
 )
 
-// log holds the entries behind the newest snapshot, and the configurations
+// log holds the entries after the newest snapshot, and the configurations
 // among them.
 type log struct {
 	snapshot *wire.Snapshot
@@ -42,7 +42,7 @@
 
 func (l *log) lastTerm() uint64 { return l.term(l.lastIndex()) }
 
-// term returns the term at an index that the log still knows, else 0.
+// term returns the term at an index, or 0 if the log no longer or does not yet hold it.
 func (l *log) term(index uint64) uint64 {
 	if index == l.snapshotIndex() {
 		return l.snapshot.GetTerm()
@@ -55,7 +55,7 @@
 
 func (l *log) at(index uint64) *wire.Entry { return l.entries[index-l.snapshotIndex()-1] }
 
-// from returns the entries at and behind an index.
+// from returns the entries from an index on.
 func (l *log) from(index uint64) []*wire.Entry {
 	if index <= l.snapshotIndex() {
 		return l.entries
@@ -66,8 +66,8 @@
 	return l.entries[index-l.snapshotIndex()-1:]
 }
 
-// batch returns entries from an index on, at least one if there is any, up to
-// about limit bytes.
+// batch returns entries from an index on whose data fits into limit bytes, but at
+// least one if there is any.
 func (l *log) batch(index uint64, limit int) []*wire.Entry {
 	all := l.from(index)
 	size := 0
@@ -87,12 +87,12 @@
 	}
 	c := &wire.Config{}
 	if err := proto.Unmarshal(e.Data, c); err != nil {
-		panic("consensus: a configuration entry cannot be read: " + err.Error())
+		panic("consensus: cannot decode a configuration entry: " + err.Error())
 	}
 	l.configs = append(l.configs, indexedConfig{e.Index, c})
 }
 
-// truncate drops the entries at and behind an index.
+// truncate drops the entries from an index on.
 func (l *log) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.snapshotIndex()-1])
 	l.configs = slices.DeleteFunc(l.configs, func(c indexedConfig) bool { return c.index >= index })
@@ -120,8 +120,8 @@
 	return noConfig
 }
 
-// configsBehind returns the configurations behind an index.
-func (l *log) configsBehind(index uint64) []*wire.Config {
+// configsAfter returns the configurations after an index.
+func (l *log) configsAfter(index uint64) []*wire.Config {
 	var list []*wire.Config
 	for _, c := range l.configs {
 		if c.index > index {
@@ -138,5 +138,5 @@
 	return l.configs[len(l.configs)-1].index
 }
 
-// sortedKeys makes the order of effects independent of map order.
+// sortedKeys returns the keys in order, so that effects do not depend on map order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/consensus/send.go
+++ b/consensus/send.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// flush sends what a leader owes: a round, or new entries.
+// flush sends the leader's pending round or new entries.
 func (n *Node) flush() {
 	if n.wantRound {
 		n.startRound()
@@ -44,7 +44,7 @@
 	n.roundSent[n.round] = n.now // (4.1)
 	n.deadline = n.now + n.opts.Heartbeat
 	n.sendAppends(true)
-	n.countRounds()
+	n.confirmRounds()
 }
 
 func (n *Node) sendAppends(always bool) {
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -17,8 +17,8 @@
 	"leverdrum/wire"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; -rapid.seed
-// and -rapid.checks on the command line go before it.
+// TestMain fixes the seed, so that every run gives the same result; -rapid.seed
+// and -rapid.checks on the command line take precedence.
 func TestMain(m *testing.M) {
 	fixed.Rapid(60)
 	os.Exit(m.Run())
@@ -30,43 +30,43 @@
 	lease     = 240 * time.Millisecond
 )
 
-// proc is one incarnation of a box with what its disk holds.
+// proc is one incarnation of a box, with the contents of its disk.
 type proc struct {
-	id       string
-	diskless bool
-	node     *consensus.Node // nil while down
-	frozen   bool
-	gone     bool // its state is lost for good
-	hard     *wire.HardState
-	snapshot *wire.Snapshot
-	entries  []*wire.Entry
-	applied  uint64
-	known    uint64 // agreed, when it was last written
-	began    time.Duration
+	id          string
+	diskless    bool
+	node        *consensus.Node // nil while down
+	frozen      bool
+	lost        bool // its state is lost permanently
+	hard        *wire.HardState
+	snapshot    *wire.Snapshot
+	entries     []*wire.Entry
+	applied     uint64
+	knownCommit uint64 // newest committed index at the last write
+	began       time.Duration
 }
 
-// sim drives nodes through failures and checks the promises after each step.
+// sim drives nodes through failures and checks the invariants after each step.
 type sim struct {
-	t         *rapid.T
-	now       time.Duration
-	procs     map[string]*proc
-	net       []*wire.Message
-	cut       map[[2]string]bool
-	agreed    map[uint64]string // index to term and data
-	floor     uint64            // newest index agreed on any node
-	leaders   map[uint64]string
-	reads     map[string]uint64                // node and token to the floor when it was asked
-	words     map[string]consensus.LogPosition // the last of each process, however old
-	token     uint64
-	proposals int
-	changes   int
-	heard     int // times that words showed more to be agreed
+	t             *rapid.T
+	now           time.Duration
+	procs         map[string]*proc
+	net           []*wire.Message
+	cut           map[[2]string]bool
+	committed     map[uint64]string // index to term and data
+	maxCommitted  uint64            // newest index committed on any node
+	leaders       map[uint64]string
+	reads         map[string]uint64                // node and token to the floor when the read was requested
+	positions     map[string]consensus.LogPosition // last one that each process reported, however old
+	token         uint64
+	proposals     int
+	changes       int
+	provenCommits int // times that log positions proved a newer index to be committed
 }
 
-func newSim(t *rapid.T, voters, spares int) *sim {
+func newSim(t *rapid.T, voters, learners int) *sim {
 	s := &sim{
-		t: t, procs: map[string]*proc{}, cut: map[[2]string]bool{}, agreed: map[uint64]string{},
-		leaders: map[uint64]string{}, reads: map[string]uint64{}, words: map[string]consensus.LogPosition{},
+		t: t, procs: map[string]*proc{}, cut: map[[2]string]bool{}, committed: map[uint64]string{},
+		leaders: map[uint64]string{}, reads: map[string]uint64{}, positions: map[string]consensus.LogPosition{},
 	}
 	var ids []string
 	for i := range voters {
@@ -76,10 +76,10 @@
 	for _, id := range ids {
 		s.add(&proc{id: id, hard: &wire.HardState{Term: 1}, snapshot: first})
 	}
-	for i := range spares {
+	for i := range learners {
 		s.add(&proc{id: fmt.Sprintf("s%d/0", i), diskless: true})
 	}
-	s.floor = 1
+	s.maxCommitted = 1
 	return s
 }
 
@@ -89,7 +89,7 @@
 }
 
 func (s *sim) boot(p *proc) {
-	p.node = consensus.New(consensus.Options{ID: p.id, ElectionMin: election, Heartbeat: heartbeat, Lease: lease, Seed: 7, Committed: p.known}, s.now, p.hard, p.snapshot, p.entries)
+	p.node = consensus.New(consensus.Options{ID: p.id, ElectionMin: election, Heartbeat: heartbeat, Lease: lease, Seed: 7, Committed: p.knownCommit}, s.now, p.hard, p.snapshot, p.entries)
 	p.frozen, p.began = false, s.now
 	p.applied = p.snapshot.GetIndex()
 }
@@ -99,7 +99,7 @@
 
 func (s *sim) running(p *proc) bool { return p.node != nil && !p.frozen }
 
-// settle carries out a node's effects as the replica does.
+// settle carries out a node's output as the replica does.
 func (s *sim) settle(p *proc) {
 	out := p.node.TakeOutput()
 	if out.Snapshot != nil {
@@ -110,7 +110,7 @@
 		p.hard = out.HardState
 	}
 	if out.HardState != nil || len(out.Entries) > 0 {
-		p.known = out.Commit
+		p.knownCommit = out.Commit
 	}
 	if len(out.Entries) > 0 {
 		first := out.Entries[0].Index
@@ -122,7 +122,7 @@
 	for _, r := range out.Reads {
 		key := fmt.Sprint(p.id, r.Token)
 		if r.Index < s.reads[key] {
-			s.t.Fatalf("%s serves a read at %d although %d was agreed before it was asked", p.id, r.Index, s.reads[key])
+			s.t.Fatalf("%s serves a read at %d although %d was committed before it was requested", p.id, r.Index, s.reads[key])
 		}
 	}
 	s.checkLeaders(p)
@@ -133,15 +133,15 @@
 		p.applied++
 		e := p.node.Entry(p.applied)
 		if e == nil {
-			s.t.Fatalf("%s lacks the agreed entry %d", p.id, p.applied)
+			s.t.Fatalf("%s misses the committed entry %d", p.id, p.applied)
 		}
 		what := fmt.Sprintf("%d %d %x", e.Term, e.Kind, e.Data)
-		if before, ok := s.agreed[e.Index]; ok && before != what {
-			s.t.Fatalf("index %d was agreed as %q and is %q on %s", e.Index, before, what, p.id)
+		if before, ok := s.committed[e.Index]; ok && before != what {
+			s.t.Fatalf("index %d was committed as %q and is %q on %s", e.Index, before, what, p.id)
 		}
-		s.agreed[e.Index] = what
+		s.committed[e.Index] = what
 	}
-	s.floor = max(s.floor, commit)
+	s.maxCommitted = max(s.maxCommitted, commit)
 }
 
 func (s *sim) checkLeaders(p *proc) {
@@ -176,8 +176,8 @@
 	}
 }
 
-// deliver hands over the i-th message, or drops it when the way is cut or the
-// receiver is down. A frozen receiver keeps its messages waiting.
+// deliver delivers the i-th message, or drops it if the link is cut or the
+// receiver is down. Messages to a frozen receiver stay queued.
 func (s *sim) deliver(i int, keep bool) {
 	m := s.net[i]
 	p := s.procs[m.To]
@@ -194,14 +194,14 @@
 	s.settle(p)
 }
 
-// flow delivers what is on the way, in order, for some rounds of the clock.
-func (s *sim) flow(rounds int) {
+// deliverAll delivers the messages in flight, in order, for some clock ticks.
+func (s *sim) deliverAll(rounds int) {
 	for range rounds {
 		s.tick(10 * time.Millisecond)
 		for range len(s.net) {
 			before := len(s.net)
 			s.deliver(0, false)
-			if len(s.net) == before { // for a frozen receiver
+			if len(s.net) == before { // kept for a frozen receiver
 				s.net = append(s.net[1:], s.net[0])
 			}
 		}
@@ -236,7 +236,7 @@
 	if p := s.pick("reader", s.leading); p != nil {
 		s.token++
 		if p.node.Read(s.token) == nil {
-			s.reads[fmt.Sprint(p.id, s.token)] = s.floor
+			s.reads[fmt.Sprint(p.id, s.token)] = s.maxCommitted
 			s.settle(p)
 		}
 	}
@@ -255,16 +255,16 @@
 }
 
 func (s *sim) restart() {
-	if p := s.pick("restarted", func(p *proc) bool { return p.node == nil && !p.gone }); p != nil {
+	if p := s.pick("restarted", func(p *proc) bool { return p.node == nil && !p.lost }); p != nil {
 		s.boot(p)
 	}
 }
 
-// mayLose reports whether every configuration that a node may act on keeps a
-// majority of voters whose state is not lost.
+// mayLose reports whether, without id, every configuration that a node may act on
+// keeps a majority of voters whose state is not lost.
 func (s *sim) mayLose(id string) bool {
 	for _, p := range s.procs {
-		if p.gone {
+		if p.lost {
 			continue
 		}
 		configs := []*wire.Config{p.snapshot.GetConfig()}
@@ -289,30 +289,30 @@
 func (s *sim) keepsMajority(voters []string, loser string) bool {
 	lost := 0
 	for _, id := range voters {
-		if id == loser || s.procs[id].gone {
+		if id == loser || s.procs[id].lost {
 			lost++
 		}
 	}
 	return len(voters) == 0 || len(voters)-lost > len(voters)/2
 }
 
-// lose wipes a box: its incarnation is gone, and it comes back as another one.
+// lose wipes a box: its incarnation ends, and it returns as another one.
 func (s *sim) lose(p *proc) {
 	if !s.mayLose(p.id) {
 		return
 	}
-	p.gone, p.node = true, nil
+	p.lost, p.node = true, nil
 	next := fmt.Sprintf("%s/%d", wire.BoxOf(p.id), len(s.procs))
 	s.add(&proc{id: next, diskless: p.diskless})
 }
 
 func (s *sim) wipe() {
-	if p := s.pick("wiped", func(p *proc) bool { return !p.gone }); p != nil {
+	if p := s.pick("wiped", func(p *proc) bool { return !p.lost }); p != nil {
 		s.lose(p)
 	}
 }
 
-// repair lets a leader replace a voter by a box that holds everything.
+// repair lets a leader replace a voter by a box that holds all committed entries.
 func (s *sim) repair() {
 	p := s.pick("repairer", s.leading)
 	if p == nil {
@@ -328,7 +328,7 @@
 		s.settle(p)
 		return
 	}
-	i := slices.IndexFunc(voters, func(id string) bool { return s.procs[id].gone })
+	i := slices.IndexFunc(voters, func(id string) bool { return s.procs[id].lost })
 	if i < 0 {
 		i = rapid.IntRange(0, len(voters)-1).Draw(s.t, "replaced")
 	}
@@ -379,29 +379,29 @@
 	}
 }
 
-// say has one process say where it stands, and hear has one take what was said, however
-// long ago, for what is agreed (2.3).
-func (s *sim) say() {
-	if p := s.pick("says", s.running); p != nil {
-		s.words[p.id] = p.node.LogPosition()
+// reportPosition makes one process report its log position, and hear makes one mark as committed
+// what the reported positions, however old, prove (2.3).
+func (s *sim) reportPosition() {
+	if p := s.pick("reporting", s.running); p != nil {
+		s.positions[p.id] = p.node.LogPosition()
 	}
 }
 
-func (s *sim) hear() {
-	p := s.pick("hears", func(p *proc) bool { return s.running(p) && p.node.LogPosition().Voters != nil })
+func (s *sim) usePositions() {
+	p := s.pick("using positions", func(p *proc) bool { return s.running(p) && p.node.LogPosition().Voters != nil })
 	if p == nil {
 		return
 	}
 	own := p.node.LogPosition()
-	words := []consensus.LogPosition{own}
+	positions := []consensus.LogPosition{own}
 	for _, id := range s.ids() {
-		if w := s.words[id]; id != p.id && w.Voters != nil {
-			words = append(words, w)
+		if w := s.positions[id]; id != p.id && w.Voters != nil {
+			positions = append(positions, w)
 		}
 	}
-	if index, ok := consensus.CommittedIndex(words, own.Term); ok {
+	if index, ok := consensus.CommittedIndex(positions, own.Term); ok {
 		if index > p.node.Commit() && index <= own.LastIndex {
-			s.heard++
+			s.provenCommits++
 		}
 		p.node.MarkCommitted(index, own.Term)
 		s.settle(p)
@@ -413,7 +413,7 @@
 	case 0, 1, 2:
 		s.tick(time.Duration(rapid.IntRange(1, 120).Draw(s.t, "ms")) * time.Millisecond)
 	case 3, 4, 5, 6, 7:
-		s.flow(rapid.IntRange(1, 8).Draw(s.t, "rounds"))
+		s.deliverAll(rapid.IntRange(1, 8).Draw(s.t, "rounds"))
 	case 8, 9, 10, 11:
 		s.propose()
 	case 12, 13:
@@ -443,7 +443,7 @@
 			clear(s.cut)
 		}
 		s.thaw()
-		s.read() // of one that may not know yet that it was deposed
+		s.read() // of a leader that may not know yet that it was deposed
 	case 26:
 		if p := s.pick("frozen", s.running); p != nil {
 			p.frozen = true
@@ -451,9 +451,9 @@
 	case 27:
 		s.isolate()
 	case 29, 30:
-		s.say()
+		s.reportPosition()
 	case 31, 32:
-		s.hear()
+		s.usePositions()
 	case 28:
 		if p := s.pick("transferrer", s.leading); p != nil {
 			p.node.Transfer()
@@ -468,18 +468,18 @@
 	}
 }
 
-// heal ends all failures; then a leader must come and agree on something new.
+// heal ends all failures; a leader must then be elected and commit a new entry.
 func (s *sim) heal() {
 	clear(s.cut)
 	s.thaw()
 	for _, id := range s.ids() {
-		if p := s.procs[id]; p.node == nil && !p.gone {
+		if p := s.procs[id]; p.node == nil && !p.lost {
 			s.boot(p)
 		}
 	}
 	const rounds = 400
 	for range rounds {
-		s.flow(1)
+		s.deliverAll(1)
 		for _, id := range s.ids() {
 			p := s.procs[id]
 			if p.node == nil || !p.node.Established() {
@@ -490,20 +490,20 @@
 				continue
 			}
 			s.settle(p)
-			s.flow(20)
+			s.deliverAll(20)
 			if p.node.Commit() >= index {
 				return
 			}
 		}
 	}
-	s.t.Fatalf("no leader agreed on anything after all failures ended: %s", s.describe())
+	s.t.Fatalf("no leader committed an entry after all failures ended: %s", s.describe())
 }
 
 func (s *sim) describe() string {
 	var b strings.Builder
 	for _, id := range s.ids() {
 		if p := s.procs[id]; p.node != nil {
-			fmt.Fprintf(&b, "\n%s: %v of %q in term %d, agreed %d of %d, voters %v, outgoing %v", id, p.node.Role(), p.node.Leader(),
+			fmt.Fprintf(&b, "\n%s: %v of %q in term %d, committed %d of %d, voters %v, outgoing %v", id, p.node.Role(), p.node.Leader(),
 				p.node.Term(), p.node.Commit(), p.node.LastIndex(), p.node.Config().Voters, p.node.Config().Outgoing)
 		}
 	}
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -7,14 +7,14 @@
 	"leverdrum/wire"
 )
 
-// Receive handles one message. One that names another receiver is dropped:
-// it was meant for an earlier incarnation (5.1).
+// Receive handles one message. A message to another receiver is dropped: it was
+// meant for an earlier incarnation (5.1).
 func (n *Node) Receive(now time.Duration, m *wire.Message) {
 	n.now = max(n.now, now)
 	if m.To != n.opts.ID {
 		return
 	}
-	if !n.admitTerm(m) {
+	if !n.checkTerm(m) {
 		return
 	}
 	switch m.Type {
@@ -37,9 +37,9 @@
 	}
 }
 
-// admitTerm compares the message's term with the own one and reports whether
+// checkTerm compares the message's term with the node's own and reports whether
 // the message is to be handled.
-func (n *Node) admitTerm(m *wire.Message) bool {
+func (n *Node) checkTerm(m *wire.Message) bool {
 	isPreVote := m.Type == wire.MessageType_MESSAGE_PRE_VOTE
 	isGrant := m.Type == wire.MessageType_MESSAGE_PRE_VOTE_REPLY && !m.Reject
 	isVote := m.Type == wire.MessageType_MESSAGE_VOTE
@@ -48,7 +48,7 @@
 		if isPreVote || isGrant { // (1.1)
 			return true
 		}
-		if isVote && !m.Transfer && n.bound() { // (1.4)
+		if isVote && !m.Transfer && n.withholdsVotes() { // (1.4)
 			return false
 		}
 		leader := ""
@@ -58,14 +58,14 @@
 		n.becomeFollower(m.Term, leader)
 		return true
 	case m.Term < n.term:
-		n.answerStale(m)
+		n.rejectStaleTerm(m)
 		return false
 	}
 	return true
 }
 
-// answerStale tells a sender of an old term which term it is now.
-func (n *Node) answerStale(m *wire.Message) {
+// rejectStaleTerm tells a sender of an old term the current term.
+func (n *Node) rejectStaleTerm(m *wire.Message) {
 	switch m.Type {
 	case wire.MessageType_MESSAGE_APPEND, wire.MessageType_MESSAGE_SNAPSHOT:
 		n.send(&wire.Message{Type: wire.MessageType_MESSAGE_APPEND_REPLY, To: m.From, Reject: true, Index: n.log.lastIndex()})
@@ -74,10 +74,10 @@
 	}
 }
 
-// bound reports whether the node must not help to elect anybody (1.4, 1.5). A
-// leader that a quorum answers is bound to itself.
-func (n *Node) bound() bool {
-	return n.role == Leader || n.now-n.heardLeader < n.opts.ElectionMin
+// withholdsVotes reports whether the node must not help to elect another leader
+// (1.4, 1.5). A leader that a quorum answers helps to elect none.
+func (n *Node) withholdsVotes() bool {
+	return n.role == Leader || n.now-n.lastLeaderContact < n.opts.ElectionMin
 }
 
 func (n *Node) becomeFollower(term uint64, leader string) {
@@ -95,7 +95,7 @@
 	n.resetDeadline()
 }
 
-// campaign asks for pre-votes, or at once for votes when the leader said so.
+// campaign requests pre-votes, or votes at once if the leader asked for that.
 func (n *Node) campaign(transfer bool) {
 	n.resetDeadline()
 	n.leader = ""         // (1.8)
@@ -112,7 +112,7 @@
 		n.requestVotes(false)
 		return
 	}
-	n.askVoters(&wire.Message{Type: wire.MessageType_MESSAGE_PRE_VOTE, Term: n.term + 1})
+	n.sendToVoters(&wire.Message{Type: wire.MessageType_MESSAGE_PRE_VOTE, Term: n.term + 1})
 }
 
 func (n *Node) requestVotes(transfer bool) {
@@ -125,10 +125,10 @@
 		n.becomeLeader()
 		return
 	}
-	n.askVoters(&wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: n.term, Transfer: transfer})
+	n.sendToVoters(&wire.Message{Type: wire.MessageType_MESSAGE_VOTE, Term: n.term, Transfer: transfer})
 }
 
-func (n *Node) askVoters(m *wire.Message) {
+func (n *Node) sendToVoters(m *wire.Message) {
 	c := n.Config()
 	ids := slices.Concat(c.Voters, c.Outgoing)
 	slices.Sort(ids)
@@ -142,7 +142,7 @@
 
 func (n *Node) granted(id string) bool { return n.votes[id] }
 
-// upToDate is rule 1.3.
+// upToDate reports whether a candidate's log satisfies rule 1.3.
 func (n *Node) upToDate(m *wire.Message) bool {
 	if m.LogTerm != n.log.lastTerm() {
 		return m.LogTerm > n.log.lastTerm()
@@ -151,7 +151,7 @@
 }
 
 func (n *Node) onPreVote(m *wire.Message) {
-	grant := m.Term > n.term && !n.bound() && n.upToDate(m) // (1.3, 1.4)
+	grant := m.Term > n.term && !n.withholdsVotes() && n.upToDate(m) // (1.3, 1.4)
 	reply := &wire.Message{Type: wire.MessageType_MESSAGE_PRE_VOTE_REPLY, To: m.From, Reject: !grant}
 	if grant {
 		reply.Term = m.Term
@@ -161,7 +161,7 @@
 
 func (n *Node) onVote(m *wire.Message) {
 	free := n.vote == "" || n.vote == m.From
-	grant := free && n.upToDate(m) && (m.Transfer || !n.bound()) // (1.2, 1.3, 1.4)
+	grant := free && n.upToDate(m) && (m.Transfer || !n.withholdsVotes()) // (1.2, 1.3, 1.4)
 	if grant && n.vote == "" {
 		n.role, n.vote = Follower, m.From
 		n.hardDirty = true
@@ -193,7 +193,7 @@
 	n.peers = map[string]*progress{}
 	n.roundSent = map[uint64]time.Duration{}
 	n.leaseHeld, n.transferred = false, false
-	n.ledSince = n.now
+	n.leaderSince = n.now
 	n.termStart = n.log.lastIndex() + 1
 	n.syncPeers()
 	n.append(wire.EntryKind_ENTRY_EMPTY, nil)
@@ -207,13 +207,13 @@
 	n.campaign(true)
 }
 
-// follow notes that the leader of the term was heard.
-func (n *Node) follow(leader string) {
+// followLeader records a message from the leader of the term.
+func (n *Node) followLeader(leader string) {
 	if n.role != Follower {
 		n.becomeFollower(n.term, leader)
 	}
 	n.leader = leader
-	n.heardLeader = n.now
+	n.lastLeaderContact = n.now
 	n.resetDeadline()
 }
 
@@ -221,7 +221,7 @@
 	if n.role == Leader {
 		return
 	}
-	n.follow(m.From)
+	n.followLeader(m.From)
 	reply := &wire.Message{Type: wire.MessageType_MESSAGE_APPEND_REPLY, To: m.From, Round: m.Round}
 	if !n.matches(m.Index, m.LogTerm) { // (2.1)
 		reply.Reject = true
@@ -229,14 +229,14 @@
 		n.send(reply)
 		return
 	}
-	n.takeEntries(m.Entries)
+	n.appendEntries(m.Entries)
 	reply.Index = m.Index + uint64(len(m.Entries))
 	n.commitTo(min(m.Commit, reply.Index))
 	n.send(reply)
 }
 
-// matches reports whether the own log holds the entry before a message's
-// entries. What a snapshot covers is agreed and so the same everywhere.
+// matches reports whether the node's own log holds the entry before a message's
+// entries. What a snapshot covers is committed and so the same on all nodes.
 func (n *Node) matches(index, term uint64) bool {
 	if index < n.log.snapshotIndex() {
 		return true
@@ -244,7 +244,7 @@
 	return index <= n.log.lastIndex() && n.log.term(index) == term
 }
 
-func (n *Node) takeEntries(entries []*wire.Entry) {
+func (n *Node) appendEntries(entries []*wire.Entry) {
 	for _, e := range entries {
 		if e.Index <= n.log.snapshotIndex() {
 			continue
@@ -254,7 +254,7 @@
 				continue
 			}
 			if e.Index <= n.commit { // (2.1)
-				panic("consensus: an agreed entry would be dropped")
+				panic("consensus: a committed entry would be truncated")
 			}
 			n.log.truncate(e.Index)
 		}
@@ -269,7 +269,7 @@
 	if n.role == Leader {
 		return
 	}
-	n.follow(m.From)
+	n.followLeader(m.From)
 	s := m.Snapshot
 	if s.GetIndex() > n.commit {
 		n.installSnapshot(s)
@@ -296,40 +296,40 @@
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.heard = n.now
+	p.lastReply = n.now
 	p.round = max(p.round, m.Round)
 	if m.Reject {
-		n.backOff(m, p)
+		n.rewindNext(m, p)
 	} else if m.Index > p.match {
 		p.match = m.Index
 		p.next = max(p.next, m.Index+1)
 		n.advanceCommit()
 	}
 	if n.role == Leader {
-		n.countRounds()
+		n.confirmRounds()
 	}
 	if n.role == Leader && p.next <= n.log.lastIndex() {
 		n.wantAppend = true
 	}
 }
 
-// backOff sends again from where the follower says its log may still agree.
-func (n *Node) backOff(m *wire.Message, p *progress) {
+// rewindNext resumes sending from where the follower reports that its log may still match.
+func (n *Node) rewindNext(m *wire.Message, p *progress) {
 	if m.Index+1 < p.next {
 		p.next = max(p.match, m.Index) + 1
 		n.wantAppend = true
 	}
 }
 
-// advanceCommit is rule 2.2, and ends or follows up a change (2.5, 2.6).
+// advanceCommit applies rule 2.2, and continues or ends a change of the voters (2.5, 2.6).
 func (n *Node) advanceCommit() {
-	index := n.agreedIndex()
+	index := n.quorumIndex()
 	if index <= n.commit || n.log.term(index) != n.term {
 		return
 	}
 	n.commit = index
 	n.wantAppend = true
-	n.wantRound = true // followers learn of it now, not at the next heartbeat
+	n.wantRound = true // tells followers now, not at the next heartbeat
 	n.finishChange()
 }
 
@@ -348,11 +348,11 @@
 	}
 }
 
-// agreedIndex returns the newest index that a quorum holds.
-func (n *Node) agreedIndex() uint64 {
+// quorumIndex returns the newest index that a quorum holds.
+func (n *Node) quorumIndex() uint64 {
 	index := n.log.lastIndex()
 	for index > n.commit && !n.quorum(func(id string) bool { return n.matchOf(id) >= index }) {
-		index = n.nextLower(index)
+		index = n.nextLowerMatch(index)
 	}
 	return index
 }
@@ -367,9 +367,9 @@
 	return 0
 }
 
-// nextLower returns the largest match below an index: only there the count of
-// holders changes.
-func (n *Node) nextLower(index uint64) uint64 {
+// nextLowerMatch returns the largest match below an index: the number of nodes
+// that hold an index changes only there.
+func (n *Node) nextLowerMatch(index uint64) uint64 {
 	lower := n.commit
 	for _, p := range n.peers {
 		if p.match < index {
@@ -379,9 +379,9 @@
 	return lower
 }
 
-// countRounds finds the newest round that a quorum answered, renews the lease
-// from its sending (4.1) and serves the reads that waited for it (3.2).
-func (n *Node) countRounds() {
+// confirmRounds finds the newest round that a quorum answered, renews the lease
+// from when it was sent (4.1) and serves the reads that waited for it (3.2).
+func (n *Node) confirmRounds() {
 	best := uint64(0)
 	for round := range n.roundSent {
 		if round > best && n.quorum(func(id string) bool { return id == n.opts.ID || n.roundOf(id) >= round }) {
