--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -379,8 +379,8 @@
 	}
 }
 
-// reportPosition makes one process report its log position, and hear makes one mark as committed
-// what the reported positions, however old, prove (2.3).
+// reportPosition makes one process report its log position, and usePositions makes one mark as
+// committed what the reported positions, however old, prove (2.3).
 func (s *sim) reportPosition() {
 	if p := s.pick("reporting", s.running); p != nil {
 		s.positions[p.id] = p.node.LogPosition()
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -5,14 +5,14 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("replica")
 
-// What a replica answers instead of a result.
+// Errors that a Replica returns.
 var (
-	// ErrNotLeader: this box does not lead; nothing was proposed.
-	ErrNotLeader = Error.New("this box does not lead")
-	// ErrOutcomeUnknown: the command may or may not become agreed.
-	ErrOutcomeUnknown = Error.New("whether the command became agreed is not known")
-	// ErrDiskFull: the data folder has no room; nothing was proposed.
-	ErrDiskFull = Error.New("the data folder has no room")
-	// ErrBusy: too much waits already; nothing was proposed.
-	ErrBusy = Error.New("too many events wait")
+	// ErrNotLeader: this box is not the leader; nothing was proposed.
+	ErrNotLeader = Error.New("this box is not the leader")
+	// ErrOutcomeUnknown: the command may or may not be committed.
+	ErrOutcomeUnknown = Error.New("the outcome is unknown: the command may or may not be committed")
+	// ErrDiskFull: the data folder is full; nothing was proposed.
+	ErrDiskFull = Error.New("the data folder is full")
+	// ErrBusy: the event queue is full; nothing was proposed.
+	ErrBusy = Error.New("the event queue is full")
 )
--- a/replica/established_test.go
+++ b/replica/established_test.go
@@ -14,20 +14,20 @@
 	"leverdrum/wire"
 )
 
-// three is the storage of a voter of three.
-type three struct{ MemoryStorage }
+// threeVoters is the storage of one of three voters.
+type threeVoters struct{ MemoryStorage }
 
-func (three) Loaded() wal.Loaded {
+func (threeVoters) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1", "b/1", "c/1"}}}}
 }
 
-// behind is voters that vote and hear the leader, and do not have its entries yet.
-type behind struct {
-	rounds map[string]uint64 // answered last, by voter
+// laggingVoters are voters that vote and answer the leader, but do not have its entries yet.
+type laggingVoters struct {
+	rounds map[string]uint64 // last round answered, by voter
 }
 
-// answer returns nil where the round was answered already.
-func (b behind) answer(m *wire.Message) *wire.Message {
+// answer returns nil if the round was answered already.
+func (b laggingVoters) answer(m *wire.Message) *wire.Message {
 	reply := &wire.Message{From: m.To, To: m.From, Term: m.Term, Round: m.Round}
 	switch m.Type {
 	case wire.MessageType_MESSAGE_PRE_VOTE:
@@ -44,19 +44,19 @@
 	return reply
 }
 
-// A leader's applied state may lack entries that an earlier leader had agreed until one of its own
-// term is: files, keys that were taken away, lowered quotas. Its lease shows nothing before.
-func TestALeaderThatIsNotEstablishedHoldsNoLease(t *testing.T) {
+// Until an entry of its own term is committed, a leader's applied state may miss entries that an earlier
+// leader had committed: fleet files, revoked keys, lowered quotas. It must not hold a lease before.
+func TestLeaderHoldsNoLeaseBeforeItIsEstablished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		sent := make(chan *wire.Message, 1000)
 		r, err := New(Options{
 			Core:    consensus.Options{ID: "a/1", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
-			Storage: three{}, Send: func(m *wire.Message) { sent <- m }, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
+			Storage: threeVoters{}, Send: func(m *wire.Message) { sent <- m }, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		done := make(chan struct{})
-		others := behind{map[string]uint64{}}
+		others := laggingVoters{map[string]uint64{}}
 		var network sync.WaitGroup
 		defer network.Wait()
 		defer close(done)
@@ -64,7 +64,7 @@
 			for {
 				select {
 				case m := <-sent:
-					time.Sleep(time.Millisecond) // on the way
+					time.Sleep(time.Millisecond) // network delay
 					if reply := others.answer(m); reply != nil {
 						r.Receive(reply)
 					}
@@ -75,7 +75,7 @@
 		})
 		defer r.Close()
 		time.Sleep(2 * time.Second)
-		g.Expect(r.Status().Role).To(Equal(consensus.Leader), "else this proves nothing")
+		g.Expect(r.Status().Role).To(Equal(consensus.Leader), "or the test proves nothing")
 		g.Expect(r.Status().Established).To(BeFalse())
 		_, held := r.Lease()
 		g.Expect(held).To(BeFalse())
--- a/replica/packed_test.go
+++ b/replica/fleet_file_test.go
@@ -17,7 +17,7 @@
 	"leverdrum/wire"
 )
 
-// file is a command with a file of 5,000 lines.
+// file returns a command with a fleet file of 5,000 lines.
 func file(number uint64) *wire.Command {
 	var b strings.Builder
 	for i := range 5000 {
@@ -26,18 +26,18 @@
 	return &wire.Command{Kind: &wire.Command_Apply{Apply: standin.NumberedFile(number, b.String())}}
 }
 
-// single is the storage of the only voter.
-type single struct{ MemoryStorage }
+// singleVoter is the storage of the only voter.
+type singleVoter struct{ MemoryStorage }
 
-func (single) Loaded() wal.Loaded {
+func (singleVoter) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
-func leader(t *testing.T) *Replica {
+func startLeader(t *testing.T) *Replica {
 	g := NewWithT(t)
 	r, err := New(Options{
 		Core:    consensus.Options{ID: "a/1", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
-		Storage: single{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
+		Storage: singleVoter{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(error) {}, Log: zap.NewNop(),
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(r.Close)
@@ -45,7 +45,7 @@
 	return r
 }
 
-// proposeAll puts commands into the log one behind the other, before any is applied.
+// proposeAll appends all commands to the log before any is applied.
 func proposeAll(t *testing.T, r *Replica, commands ...*wire.Command) []outcome {
 	var proposals []*proposal
 	err := r.ask(func() error {
@@ -70,10 +70,11 @@
 	return list
 }
 
-// The second file came to be packed against one that was not in force when its turn came.
-func TestFilesThatFollowEachOtherInTheLogAreAllTaken(t *testing.T) {
+// The second of two files in the log must not be packed against a file that is no longer in
+// force when the second is applied.
+func TestConsecutiveFilesAreAllAccepted(t *testing.T) {
 	g := NewWithT(t)
-	r := leader(t)
+	r := startLeader(t)
 	for _, round := range [][]uint64{{1}, {2, 3, 4}, {5, 6}} {
 		var commands []*wire.Command
 		for _, number := range round {
@@ -87,10 +88,10 @@
 	g.Expect(r.View().Text).To(Equal(file(6).GetApply().Text))
 }
 
-// Each change of a file went to all boxes, to the voters and to the disk as the whole file.
-func TestTheLogHoldsWhatAFileChanges(t *testing.T) {
+// A change of a file must not go to all boxes, the voters and the disk as the whole file.
+func TestLogHoldsOnlyChangesOfAFile(t *testing.T) {
 	g := NewWithT(t)
-	r := leader(t)
+	r := startLeader(t)
 	proposeAll(t, r, file(1))
 	first := r.View().Index
 	proposeAll(t, r, file(2))
@@ -100,11 +101,10 @@
 	g.Expect(proto.Size(entries[0])).To(BeNumerically("<", len(r.View().Text)/100))
 }
 
-// A command was read only when its turn came, when its proposer might have gone on and
-// changed it.
-func TestACommandIsReadWhenItIsProposed(t *testing.T) {
+// A command must not be marshaled later by the loop: its proposer may have changed it by then.
+func TestCommandIsMarshaledOnPropose(t *testing.T) {
 	g := NewWithT(t)
-	r := leader(t)
+	r := startLeader(t)
 	m := &wire.Member{Box: "b", Incarnation: "1", Hall: "then"}
 	encode, err := r.encoder(&wire.Command{Kind: &wire.Command_Join{Join: m}})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/replica/follow.go
+++ b/replica/follow.go
@@ -8,63 +8,63 @@
 	"leverdrum/wire"
 )
 
-// maxUpdateBytes bounds the entries of one update, in bytes: eight boxes that ask one
-// whose link takes 10 Mbit/s have it within the time of a question. What is left comes
-// with the next.
+// maxUpdateBytes bounds the entries of one update. Eight boxes that ask the same box
+// over its 10 Mbit/s link then receive it within the timeout of a request. The
+// remaining entries follow with the next update.
 const maxUpdateBytes = 64 << 10
 
-// maxState bounds a whole state, in bytes.
-const maxState = 64 << 20
+// maxStateBytes bounds an unpacked state.
+const maxStateBytes = 64 << 20
 
-// wholeBehind is how many entries a packed state may be behind what is agreed and still be
-// handed out. They come with the next answer, some 40 KB of them.
-const wholeBehind = 256
+// maxPackedLag is how many entries a packed state may lag behind the committed index and
+// still be sent. The missing entries, some 40 KB, follow with the next answer.
+const maxPackedLag = 256
 
-// wholeState is a state as it goes to boxes that lack too much for entries.
-type wholeState struct {
+// packedState is a state as sent to boxes that lag too far behind for entries.
+type packedState struct {
 	index  uint64
 	packed []byte
 }
 
-// UpdatesSince returns what a box that has applied index lacks: entries, or the whole
-// state, packed, when the entries are not kept any more. Both are empty when it lacks
-// nothing. A whole state may be some entries behind; these are kept.
+// UpdatesSince returns what a box that has applied index misses: entries, or the packed
+// state if the entries are no longer kept. Both are empty if it misses nothing. A packed
+// state may lag some entries behind; these are still kept.
 func (r *Replica) UpdatesSince(index uint64) (entries []*wire.Entry, snapshot []byte, err error) {
-	oldest := uint64(0) // entries behind it are kept
-	kept := true
+	oldest := uint64(0) // entries after it are kept
+	haveEntries := true
 	err = r.ask(func() error {
 		if index >= r.master.Index {
 			return nil
 		}
 		oldest = r.master.Index - uint64(len(r.recent))
-		if kept = index >= oldest; kept {
+		if haveEntries = index >= oldest; haveEntries {
 			entries = limitBytes(r.recent[index-oldest:])
 		}
 		return nil
 	})
-	if err != nil || kept {
+	if err != nil || haveEntries {
 		return entries, nil, err
 	}
-	snapshot, err = r.whole(oldest)
+	snapshot, err = r.packState(oldest)
 	return nil, snapshot, err
 }
 
-// whole returns a packed state behind which the entries are kept. It is packed once for all
-// that ask at about the same time: after a start of 300 boxes some 50 ask each of those
-// that have it, and packing takes 3 ms of a whole core and some MB of memory each time.
-func (r *Replica) whole(oldest uint64) ([]byte, error) {
-	r.wholeMu.Lock()
-	defer r.wholeMu.Unlock()
+// packState returns a packed state after which the entries are kept. It is packed once for
+// all boxes that ask at about the same time: when 300 boxes start, some 50 ask each box
+// that has the state, and packing takes 3 ms of a core and some MB of memory each time.
+func (r *Replica) packState(oldest uint64) ([]byte, error) {
+	r.packMu.Lock()
+	defer r.packMu.Unlock()
 	view := r.View()
-	if w := r.wholeLast; w.packed != nil && w.index >= oldest && w.index+wholeBehind >= view.Index {
+	if w := r.lastPacked; w.packed != nil && w.index >= oldest && w.index+maxPackedLag >= view.Index {
 		return w.packed, nil
 	}
 	data, err := proto.Marshal(view.Encode())
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	r.wholeLast = wholeState{view.Index, pack.Pack(data, nil)}
-	return r.wholeLast.packed, nil
+	r.lastPacked = packedState{view.Index, pack.Pack(data, nil)}
+	return r.lastPacked.packed, nil
 }
 
 func limitBytes(entries []*wire.Entry) []*wire.Entry {
@@ -78,8 +78,8 @@
 	return append([]*wire.Entry(nil), entries...)
 }
 
-// ApplyUpdate takes over agreed entries or a whole agreed state from a parent. What
-// the box has already is passed over.
+// ApplyUpdate applies committed entries or a whole committed state from a parent.
+// What the box has applied already is skipped.
 func (r *Replica) ApplyUpdate(entries []*wire.Entry, snapshot []byte) error {
 	var next *state.State
 	if len(snapshot) > 0 {
@@ -91,7 +91,7 @@
 	}
 	return r.ask(func() error {
 		if next != nil {
-			r.jumpTo(next)
+			r.replaceState(next)
 		}
 		before := r.master.Index
 		for _, e := range entries {
@@ -107,7 +107,7 @@
 }
 
 func unpackState(packed []byte) (*state.State, error) {
-	data, err := pack.Unpack(packed, nil, maxState)
+	data, err := pack.Unpack(packed, nil, maxStateBytes)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -17,7 +17,7 @@
 	defer close(r.done)
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	every := tick
+	interval := tick
 	for {
 		idle := false
 		select {
@@ -28,32 +28,32 @@
 			r.ticks.Add(1)
 		case f := <-r.events:
 			f()
-			r.drain()
+			r.runQueued()
 		}
-		if time.Now().Before(r.pausedTil) {
+		if time.Now().Before(r.pausedUntil) {
 			continue
 		}
 		r.core.Tick(r.Now())
-		if err := r.settle(idle); err != nil {
+		if err := r.processOutput(idle); err != nil {
 			r.opts.Fatal(err)
 			return
 		}
-		if next := r.tickEvery(); next != every {
-			every = next
-			ticker.Reset(every)
+		if next := r.tickInterval(); next != interval {
+			interval = next
+			ticker.Reset(interval)
 		}
 	}
 }
 
-// tickEvery is the time between two looks at the clock from now on.
-func (r *Replica) tickEvery() time.Duration {
+// tickInterval returns the current interval between two clock ticks.
+func (r *Replica) tickInterval() time.Duration {
 	if r.core.NeedsTicks() {
 		return tick
 	}
-	return restingTick
+	return idleTick
 }
 
-func (r *Replica) drain() {
+func (r *Replica) runQueued() {
 	for range batchLength {
 		select {
 		case f := <-r.events:
@@ -64,10 +64,10 @@
 	}
 }
 
-// settle carries out the core's effects in the order that they need. When
-// nothing came but the clock, and the role stayed, there is nothing to publish. A
-// leader without peers sends no messages, but its lease goes on with the clock.
-func (r *Replica) settle(idle bool) error {
+// processOutput carries out the core's output in the required order. If only the
+// clock ticked and neither role nor leader changed, there is nothing to publish. A
+// leader without peers sends no messages, but the clock alone renews its lease.
+func (r *Replica) processOutput(idle bool) error {
 	out := r.core.TakeOutput()
 	if err := r.persist(&out); err != nil {
 		if errors.Is(err, wal.ErrFull) {
@@ -83,8 +83,8 @@
 	}
 	r.answerReads(&out)
 	alone := r.core.Role() == consensus.Leader && len(r.core.Peers()) == 0
-	turned := r.core.Role() != r.Status().Role || r.core.Leader() != r.Status().Leader
-	if !idle || alone || turned || len(out.Messages) > 0 {
+	roleChanged := r.core.Role() != r.Status().Role || r.core.Leader() != r.Status().Leader
+	if !idle || alone || roleChanged || len(out.Messages) > 0 {
 		r.publishStatus()
 	}
 	return r.compact()
@@ -97,25 +97,25 @@
 	if out.HardState == nil && len(out.Entries) == 0 {
 		return nil
 	}
-	r.noteFiles(out.Entries)
+	r.trackFleetFiles(out.Entries)
 	return r.opts.Storage.Append(&wire.Batch{Entries: out.Entries, HardState: out.HardState, Agreed: r.core.Commit()})
 }
 
-// noteFiles remembers the newest fleet file among entries of the log. One that is dropped
-// again counts until the agreed state is behind its index, which only makes this member
-// seem to know of a newer file than it does.
-func (r *Replica) noteFiles(entries []*wire.Entry) {
+// trackFleetFiles records the newest fleet file among entries of the log. One that is
+// truncated later counts until the applied state is past its index; this member then only
+// seems to know a newer file than it does.
+func (r *Replica) trackFleetFiles(entries []*wire.Entry) {
 	for _, e := range entries {
 		if state.IsFile(e) {
-			r.newFile = max(r.newFile, e.Index)
+			r.newestLoggedFile = max(r.newestLoggedFile, e.Index)
 		}
 	}
 }
 
-// newestFile is the index of the newest fleet file in the log.
-func (r *Replica) newestFile() uint64 {
-	if r.newFile > r.master.Index {
-		return r.newFile
+// newestFleetFile returns the index of the newest fleet file in the log.
+func (r *Replica) newestFleetFile() uint64 {
+	if r.newestLoggedFile > r.master.Index {
+		return r.newestLoggedFile
 	}
 	return r.master.Version.GetIndex()
 }
@@ -132,12 +132,12 @@
 	if err := r.opts.Storage.SaveSnapshot(out.Snapshot, hard, out.Entries); err != nil {
 		return err
 	}
-	r.jumpTo(st)
+	r.replaceState(st)
 	return nil
 }
 
-// jumpTo takes over a newer state as a whole.
-func (r *Replica) jumpTo(st *state.State) {
+// replaceState replaces the applied state by a newer one.
+func (r *Replica) replaceState(st *state.State) {
 	if st.Index <= r.master.Index {
 		return
 	}
@@ -146,12 +146,12 @@
 	r.publish()
 }
 
-// withdraw takes the member out until its disk has room, and then lets it start
-// again from what is durable, as after a crash.
+// withdraw stops the member until its disk has free space, and then restarts it
+// from the durable state, as after a crash.
 func (r *Replica) withdraw(cause error) error {
 	event.DataFolderFull.Log(r.opts.Log, event.Cause(cause))
-	r.failWaiting()
-	r.pausedTil = time.Now().Add(fullPause)
+	r.failProposals()
+	r.pausedUntil = time.Now().Add(diskFullPause)
 	if err := r.opts.Storage.Reload(); err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func (r *Replica) failWaiting() {
+func (r *Replica) failProposals() {
 	for index, p := range r.waiting {
 		p.answer <- outcome{err: ErrOutcomeUnknown}
 		delete(r.waiting, index)
@@ -173,17 +173,17 @@
 	}
 }
 
-// applyTo applies what the core holds as agreed and the state has not seen yet.
+// applyTo applies the committed entries that the state does not include yet.
 func (r *Replica) applyTo(commit uint64) error {
 	before := r.master.Index
 	for r.master.Index < commit {
 		e := r.core.Entry(r.master.Index + 1)
 		if e == nil {
-			return Error.New("the agreed entry %d is missing", r.master.Index+1)
+			return Error.New("the committed entry %d is missing", r.master.Index+1)
 		}
 		r.applyOne(e)
 	}
-	r.dropStale()
+	r.failStaleProposals()
 	if r.master.Index > before {
 		r.publish()
 	}
@@ -195,22 +195,22 @@
 	if result.UnknownLevel != nil {
 		r.opts.Fatal(Error.Wrap(result.UnknownLevel))
 	}
-	r.remember(e)
+	r.keepRecent(e)
 	p := r.waiting[e.Index]
 	if p == nil {
 		return
 	}
 	delete(r.waiting, e.Index)
 	if p.term != e.Term {
-		r.applied = append(r.applied, answered{p, outcome{err: ErrOutcomeUnknown}})
+		r.applied = append(r.applied, answeredProposal{p, outcome{err: ErrOutcomeUnknown}})
 		return
 	}
-	r.applied = append(r.applied, answered{p, outcome{result: result}})
+	r.applied = append(r.applied, answeredProposal{p, outcome{result: result}})
 }
 
-// dropStale tells those whose proposal cannot be watched any more: the box
-// leads no longer and another leader decides what becomes of it.
-func (r *Replica) dropStale() {
+// failStaleProposals fails proposals that can no longer be followed: the box is not the
+// leader any more, and another leader decides their outcome.
+func (r *Replica) failStaleProposals() {
 	if r.core.Role() == consensus.Leader || len(r.waiting) == 0 {
 		return
 	}
@@ -220,7 +220,7 @@
 	}
 }
 
-func (r *Replica) remember(e *wire.Entry) {
+func (r *Replica) keepRecent(e *wire.Entry) {
 	r.recent = append(r.recent, e)
 	if len(r.recent) >= 2*recentLength {
 		r.recent = append([]*wire.Entry(nil), r.recent[recentLength:]...)
@@ -242,8 +242,8 @@
 	}
 }
 
-// publish shows the new state to readers and wakes those who wait for it. Who proposed
-// something is answered only then: it must not act on a state without it.
+// publish makes the new state visible to readers and wakes those that wait for it.
+// Proposers are answered only then: they must not act on a state without their command.
 func (r *Replica) publish() {
 	r.view.Store(r.master.Clone())
 	next := make(chan struct{})
@@ -258,7 +258,7 @@
 	now := r.Now()
 	s := &Status{
 		Role: r.core.Role(), Term: r.core.Term(), Leader: r.core.Leader(), Commit: r.core.Commit(), Established: r.core.Established(),
-		LogPosition: r.core.LogPosition(), NewestFile: r.newestFile(),
+		LogPosition: r.core.LogPosition(), NewestFile: r.newestFleetFile(),
 	}
 	s.Voters, s.Settled = r.core.NeededVoters()
 	if age, held := r.core.LeaseAge(now); held && s.Established {
--- a/replica/strayed_test.go
+++ b/replica/lost_leader_test.go
@@ -12,11 +12,11 @@
 	"leverdrum/wire"
 )
 
-// A box that voted once, or was to, and does not any more hears no leader by the agreement. It went on naming the one
-// that it had heard last, whoever led since: all that it passed on, announcements, orders of the operator, reading
-// back, went to that box and waited there in vain, until it was restarted. Seen as a race of operators that was never in force
-// on all boxes: one of six boxes answered no status for 30 s.
-func TestAMemberThatHearsNoLeaderNamesNone(t *testing.T) {
+// A box that was a voter or learner and no longer is receives no consensus messages. It must not go on naming the
+// last leader it knew: its announcements, operator requests and reads were then forwarded to that box and timed out
+// until a restart. In a test of concurrent operators, a file never came into force on all boxes: one of six boxes
+// answered no status request for 30 s.
+func TestMemberForgetsUnresponsiveLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r, err := New(Options{
@@ -28,7 +28,7 @@
 		r.Receive(&wire.Message{Type: wire.MessageType_MESSAGE_APPEND, From: "a/1", To: "b/1", Term: 2})
 		time.Sleep(50 * time.Millisecond)
 		g.Expect(r.Status().Leader).To(Equal("a/1"))
-		time.Sleep(5 * time.Second) // far longer than twice ElectionMin, and some looks at the clock
+		time.Sleep(5 * time.Second) // far longer than twice ElectionMin and several clock ticks
 		g.Expect(r.Status().Leader).To(BeEmpty())
 	})
 }
--- a/replica/memory.go
+++ b/replica/memory.go
@@ -5,22 +5,22 @@
 	"leverdrum/wire"
 )
 
-// MemoryStorage is the storage of a box without a disk. It keeps nothing itself: the
+// MemoryStorage is the storage of a box without a disk. It stores nothing: the
 // core holds the log, and a restart makes the box a new member (rule 5.1 of
 // package consensus).
 type MemoryStorage struct{}
 
-// Append keeps nothing.
+// Append stores nothing.
 func (MemoryStorage) Append(*wire.Batch) error { return nil }
 
-// SaveSnapshot keeps nothing.
+// SaveSnapshot stores nothing.
 func (MemoryStorage) SaveSnapshot(*wire.Snapshot, *wire.HardState, []*wire.Entry) error { return nil }
 
-// Reload does nothing: the member never withdraws.
+// Reload does nothing: a member without a disk never withdraws.
 func (MemoryStorage) Reload() error { return nil }
 
-// Loaded returns nothing.
+// Loaded returns an empty state.
 func (MemoryStorage) Loaded() wal.Loaded { return wal.Loaded{} }
 
-// HasCapacity is always there.
+// HasCapacity returns true.
 func (MemoryStorage) HasCapacity(int64) bool { return true }
--- a/replica/propose.go
+++ b/replica/propose.go
@@ -15,8 +15,8 @@
 	answer chan outcome
 }
 
-// answered is a proposal with its answer.
-type answered struct {
+// answeredProposal is a proposal with its outcome.
+type answeredProposal struct {
 	proposal *proposal
 	outcome  outcome
 }
@@ -26,37 +26,37 @@
 	err    error
 }
 
-// Outcome is what became of a command: Err as Propose returns it, else what applying it gave.
+// Outcome is the outcome of a command: Err as Propose returns it, else the result of applying it.
 type Outcome struct {
 	Result state.Result
 	Err    error
 }
 
-// Propose puts a command into the log and waits until it is applied here. The
-// errors ErrNotLeader and ErrFull tell that it was not proposed; ErrUnknown
-// tells that it may or may not become agreed.
+// Propose appends a command to the log and waits until it is applied here. After
+// ErrNotLeader, ErrDiskFull or ErrBusy it was not proposed; after ErrOutcomeUnknown
+// it may or may not be committed.
 func (r *Replica) Propose(ctx context.Context, c *wire.Command) (state.Result, error) {
-	o := r.await(ctx, r.begin(c))
+	o := r.await(ctx, r.submit(c))
 	return o.Result, o.Err
 }
 
-// ProposeAll puts commands into the log in their order and waits until all are applied. They
-// share what agreement takes, some 10 ms where boxes have half a processor and disks of 2 ms:
-// one by one a leader gave 100 orders a second at most.
+// ProposeAll appends commands to the log in their order and waits until all are applied. They
+// share the latency of one commit, some 10 ms where boxes have half a processor and disks that
+// take 2 ms; one by one a leader could issue at most 100 orders per second.
 func (r *Replica) ProposeAll(ctx context.Context, list []*wire.Command) []Outcome {
-	begun := make([]*proposal, len(list))
+	proposals := make([]*proposal, len(list))
 	for i, c := range list {
-		begun[i] = r.begin(c)
+		proposals[i] = r.submit(c)
 	}
 	outcomes := make([]Outcome, len(list))
-	for i, p := range begun {
+	for i, p := range proposals {
 		outcomes[i] = r.await(ctx, p)
 	}
 	return outcomes
 }
 
-// begin puts a command on its way into the log.
-func (r *Replica) begin(c *wire.Command) *proposal {
+// submit queues a command for the log.
+func (r *Replica) submit(c *wire.Command) *proposal {
 	p := &proposal{answer: make(chan outcome, 1)}
 	c.UnixMs = time.Now().UnixMilli()
 	encode, err := r.encoder(c)
@@ -81,9 +81,9 @@
 	}
 }
 
-// encoder returns what makes a command's entry when its turn comes. A command is read at
-// once: its proposer may go on and change it when its time is up. A fleet file, which stays as it
-// is, waits, since it is packed against the one that is in force before it.
+// encoder returns a function that encodes a command's entry when it is proposed. The command
+// itself is marshaled now: its proposer may change it after its context has ended. A fleet file,
+// which does not change, is encoded later, since it is packed against the file in force before it.
 func (r *Replica) encoder(c *wire.Command) (func() ([]byte, error), error) {
 	if a := c.GetApply(); a != nil {
 		return func() ([]byte, error) { return r.encodeFile(a, c.UnixMs) }, nil
@@ -109,23 +109,23 @@
 	}
 	p.term = term
 	r.waiting[index] = p
-	r.noteFiles([]*wire.Entry{r.core.Entry(index)})
+	r.trackFleetFiles([]*wire.Entry{r.core.Entry(index)})
 }
 
-// encodeFile makes an entry's data of a fleet file, packed against the one that will be in
-// force before it, if that is known now (state, rules for the text of a file).
+// encodeFile encodes a fleet file as the data of an entry, packed against the file that will be
+// in force before it, if that is known now (package state, rules for the text of a file).
 func (r *Replica) encodeFile(a *wire.ApplyFleet, unixMs int64) ([]byte, error) {
-	onto := r.master
-	if r.newFile > r.master.Index {
-		onto = nil
+	base := r.master
+	if r.newestLoggedFile > r.master.Index {
+		base = nil
 	}
-	c := &wire.Command{Kind: &wire.Command_Apply{Apply: state.PackFile(a, onto)}, UnixMs: unixMs}
+	c := &wire.Command{Kind: &wire.Command_Apply{Apply: state.PackFile(a, base)}, UnixMs: unixMs}
 	data, err := proto.Marshal(c)
 	return data, Error.Wrap(err)
 }
 
-// Barrier returns once View is at least as new as everything that was agreed
-// when it was called. It fails on a box that does not lead.
+// Barrier returns once View includes everything that was committed when it was
+// called. It fails on a box that is not the leader.
 func (r *Replica) Barrier(ctx context.Context) error {
 	answer := make(chan error, 1)
 	ok := r.post(func() {
--- a/replica/all_test.go
+++ b/replica/propose_all_test.go
@@ -13,9 +13,9 @@
 	"leverdrum/wire"
 )
 
-// slowDisk takes a while for each batch that it makes durable, and counts them.
+// slowDisk takes 5 ms to make a batch durable, and counts the batches.
 type slowDisk struct {
-	single
+	singleVoter
 	batches *atomic.Int64
 }
 
@@ -25,9 +25,9 @@
 	return nil
 }
 
-// A leader gave the orders of one decision one by one, each when the one before was agreed:
-// adapters that requests waited for came 3 s after the first of them, in the median.
-func TestCommandsProposedTogetherShareTheirAgreement(t *testing.T) {
+// A leader that proposed the orders of one decision one by one, each after the commit of
+// the one before, loaded adapters that requests waited for a median of 3 s after the first.
+func TestProposeAllSharesBatches(t *testing.T) {
 	g := NewWithT(t)
 	var batches atomic.Int64
 	r, err := New(Options{
@@ -46,7 +46,7 @@
 	first := r.View().Index
 	for i, o := range r.ProposeAll(t.Context(), list) {
 		g.Expect(o.Err).NotTo(HaveOccurred())
-		g.Expect(r.View().Roster[i].Member).To(Equal(fmt.Sprint("b", i, "/1")), "in their order")
+		g.Expect(r.View().Roster[i].Member).To(Equal(fmt.Sprint("b", i, "/1")), "in order")
 	}
 	g.Expect(r.View().Index - first).To(BeEquivalentTo(commands))
 	g.Expect(batches.Load() - before).To(BeNumerically("<=", commands/4))
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica runs one member: it feeds the consensus core with time and
-// messages, makes durable what the core asks for, applies what is agreed, and
-// answers those who wait for it.
+// Package replica runs one member: it passes time and messages to the consensus
+// core, persists what the core requests, applies committed entries, and answers
+// those who wait for them.
 //
-// A box without a vote runs a replica too. It gets the agreed entries from its
-// parent (package spread) and, while it is being made a voter, from the leader;
-// whichever comes first counts, since both carry the same entries.
+// A box without a vote runs a replica too. It receives the committed entries from
+// its parent (package spread) and, while it is becoming a voter, from the leader.
+// Whichever arrives first is applied, since both carry the same entries.
 package replica
 
 import (
@@ -21,55 +21,55 @@
 	"leverdrum/wire"
 )
 
-// Storage keeps what must survive a restart. A box without a disk uses Memory.
+// Storage stores what must survive a restart. A box without a disk uses MemoryStorage.
 type Storage interface {
-	// Append makes a batch durable, or keeps nothing and returns wal.ErrFull,
-	// or fails for good.
+	// Append makes a batch durable, or stores nothing and returns wal.ErrFull,
+	// or fails permanently.
 	Append(*wire.Batch) error
 	// SaveSnapshot replaces the log up to the snapshot.
 	SaveSnapshot(snapshot *wire.Snapshot, hard *wire.HardState, tail []*wire.Entry) error
-	// Reload reads again what is durable.
+	// Reload reads the durable state again.
 	Reload() error
-	// Loaded returns what was durable at the last Reload.
+	// Loaded returns the durable state as of the last Reload.
 	Loaded() wal.Loaded
-	// HasCapacity reports whether so many more bytes can be kept.
+	// HasCapacity reports whether that many more bytes can be stored.
 	HasCapacity(bytes int64) bool
 }
 
-// Options make a replica.
+// Options configure a Replica.
 type Options struct {
 	Core    consensus.Options
 	Storage Storage
-	// Send passes a message on; it must not block.
+	// Send sends a message; it must not block.
 	Send func(*wire.Message)
-	// CompactAfter is the count of log entries that a snapshot is taken at.
+	// CompactAfter is the number of log entries at which a snapshot is taken.
 	CompactAfter int
-	// Clock is steady, goes on while the machine is suspended, and shows 0 no later than Storage was
-	// read; nil for the runtime's, which stands still while the machine is suspended.
+	// Clock is monotonic, advances while the machine is suspended, and reads 0 no later than
+	// Storage was read. If nil, the runtime's is used, which stops while the machine is suspended.
 	Clock func() time.Duration
-	// Fatal is called once when the process must not go on.
+	// Fatal is called once if the process must not continue.
 	Fatal func(error)
 	Log   *zap.Logger
 }
 
 const (
-	// tick is the time between two looks at the clock, restingTick that of a member to
-	// which nothing happens with the time: most boxes do not vote, and 50 looks a second
-	// were most of what such a box woke up for while nothing changed.
-	tick        = 20 * time.Millisecond
-	restingTick = time.Second
-	// queueLength bounds the events that wait for the loop.
+	// tick is the interval between two clock ticks, idleTick that of a member for which
+	// the passing of time causes no events. Most boxes do not vote, and 50 ticks per
+	// second were most of the wakeups of such a box while nothing changed.
+	tick     = 20 * time.Millisecond
+	idleTick = time.Second
+	// queueLength bounds the queued events.
 	queueLength = 4096
 	// batchLength bounds the events that share one write to the disk.
 	batchLength = 256
-	// recentLength is how many agreed entries are kept for boxes that follow.
+	// recentLength is how many committed entries are kept for child boxes.
 	recentLength = 2048
-	// reserve is the room in bytes that a proposal must leave in the folder, for
-	// votes and the entries of other leaders.
+	// reserve is the capacity in bytes that a proposal must leave in the data folder,
+	// for votes and the entries of other leaders.
 	reserve = 64 << 10
-	// fullPause is the wait before a member whose disk was full reads its folder
-	// and takes part again.
-	fullPause = time.Second
+	// diskFullPause is how long a member whose disk was full waits before it reads its
+	// data folder and takes part again.
+	diskFullPause = time.Second
 )
 
 // Replica is one running member.
@@ -81,52 +81,52 @@
 	stop   chan struct{}
 	done   chan struct{}
 
-	waiting   map[uint64]*proposal
-	reads     map[uint64]chan error
-	nextToken uint64
-	pausedTil time.Time
-	recent    []*wire.Entry
-	applied   []answered // proposals to be answered when the view shows them
-	newFile   uint64     // index of the newest fleet file that was made durable
+	waiting          map[uint64]*proposal
+	reads            map[uint64]chan error
+	nextToken        uint64
+	pausedUntil      time.Time
+	recent           []*wire.Entry
+	applied          []answeredProposal // proposals to be answered once the view includes them
+	newestLoggedFile uint64             // index of the newest fleet file in the log
 
-	ticks     atomic.Int64 // looks at the clock, for tests
-	wholeMu   sync.Mutex
-	wholeLast wholeState // packed last, for boxes that lack much
+	ticks      atomic.Int64 // count of clock ticks, for tests
+	packMu     sync.Mutex
+	lastPacked packedState // last packed state, for boxes that lag far behind
 
 	view    atomic.Pointer[state.State]
 	status  atomic.Pointer[Status]
 	changed atomic.Pointer[chan struct{}]
 }
 
-// Status is what a replica knows of the agreement.
+// Status is a replica's consensus status.
 type Status struct {
 	Role   consensus.Role
 	Term   uint64
 	Leader string
 	Commit uint64
-	// Voters are, while a change is under way, all whose votes may be needed;
-	// Settled is false then.
+	// Voters are the voters; while a change is in progress, all whose votes may be
+	// needed. Settled is false then.
 	Voters  []string
 	Settled bool
-	// LeaseStart is when the leader's last answered round was sent, on the
-	// replica's own clock (Now); LeaseHeld is false for others, and for a leader that is not
-	// Established: its applied state may lack what an earlier one had agreed.
+	// LeaseStart is when the last round that a quorum answered was sent, on the
+	// replica's own clock (Now). LeaseHeld is false on other members, and on a leader that is
+	// not Established: its applied state may miss what an earlier leader had committed.
 	LeaseStart time.Duration
 	LeaseHeld  bool
-	// Established leaders have an agreed entry of their own term.
+	// Established leaders have a committed entry of their own term.
 	Established bool
-	// LogPosition is what this member may tell others while no leader is found.
+	// LogPosition is what this member reports to others while they have no leader.
 	LogPosition consensus.LogPosition
-	// NewestFile is the index of the newest fleet file in the log, agreed or not, as far
-	// as this member holds the log.
+	// NewestFile is the index of the newest fleet file in the log, committed or not, as
+	// far as this member holds the log.
 	NewestFile uint64
-	// LastSeen maps peers to when they were heard last; Holding to whether they
-	// hold all that is agreed. Both are filled on a leader only.
+	// LastSeen maps peers to when they last answered, CaughtUp to whether they hold
+	// all committed entries. Both are set on a leader only.
 	LastSeen map[string]time.Duration
 	CaughtUp map[string]bool
 }
 
-// New starts a replica from what its storage holds.
+// New starts a replica from the state in its storage.
 func New(opts Options) (*Replica, error) {
 	if opts.Clock == nil {
 		start := time.Now()
@@ -148,8 +148,8 @@
 	return r, nil
 }
 
-// restore builds core and state from the storage. The agreed state that is in
-// memory already is kept: it never reverts.
+// restore builds core and state from the storage. A newer applied state in memory
+// is kept: the state never reverts.
 func (r *Replica) restore() error {
 	l := r.opts.Storage.Loaded()
 	restored, err := decodeSnapshot(l.Snapshot)
@@ -162,7 +162,7 @@
 	core := r.opts.Core
 	core.Committed = l.Agreed
 	r.core = consensus.New(core, r.Now(), l.Hard, l.Snapshot, l.Entries)
-	r.noteFiles(l.Entries)
+	r.trackFleetFiles(l.Entries)
 	return r.applyTo(r.core.Commit())
 }
 
@@ -184,38 +184,38 @@
 	return st, Error.Wrap(err)
 }
 
-// Now returns the time on the replica's steady clock. What must not last longer than it says, a lease, the age of
-// news or of a claim, is measured by it.
+// Now returns the time on the replica's monotonic clock. Durations with an upper bound, such as a lease or the age
+// of an update or a claim, must use it.
 func (r *Replica) Now() time.Duration { return r.opts.Clock() }
 
 // ID returns the member's id.
 func (r *Replica) ID() string { return r.opts.Core.ID }
 
-// View returns the newest agreed state that this box has applied. It must not
-// be changed.
+// View returns the newest committed state that this box has applied. It must not
+// be modified.
 func (r *Replica) View() *state.State { return r.view.Load() }
 
-// Status returns what is known of the agreement.
+// Status returns the current consensus status.
 func (r *Replica) Status() *Status { return r.status.Load() }
 
 // Changed returns a channel that is closed at the next change of View.
 func (r *Replica) Changed() <-chan struct{} { return *r.changed.Load() }
 
-// Lease returns how long ago this box was last certain to lead from a state that holds all
-// that was agreed before, and whether it still is. It is to be asked last thing before an act that only a leader
-// may do.
+// Lease returns how long ago this box was last certain to lead from a state that includes everything
+// committed before, and whether it still is. It must be called immediately before an action that only a
+// leader may take.
 func (r *Replica) Lease() (time.Duration, bool) {
 	s := r.Status()
 	age := r.Now() - s.LeaseStart
 	return age, s.LeaseHeld && age < r.opts.Core.Lease
 }
 
-// Receive hands a peer's message to the core.
+// Receive passes a peer's message to the core.
 func (r *Replica) Receive(m *wire.Message) {
 	r.post(func() { r.core.Receive(r.Now(), m) })
 }
 
-// post queues an event; it drops it when the loop is far behind, as a network
+// post queues an event. It drops the event if the queue is full, as a network
 // would.
 func (r *Replica) post(f func()) bool {
 	select {
@@ -232,23 +232,23 @@
 	return r.ask(func() error { return r.core.ChangeVoters(voters) })
 }
 
-// MarkCommitted has entries up to an index applied that a majority of the voters was seen to hold
-// in a term (consensus, rule 2.3).
+// MarkCommitted marks the entries up to an index as committed that a majority of the voters
+// is known to hold in a term (package consensus, rule 2.3).
 func (r *Replica) MarkCommitted(index, term uint64) {
 	r.post(func() { r.core.MarkCommitted(index, term) })
 }
 
-// AddLearner makes the leader send the log to a member without a vote.
+// AddLearner makes the leader replicate the log to a member without a vote.
 func (r *Replica) AddLearner(id string) {
 	r.post(func() { r.core.AddLearner(id) })
 }
 
-// RemoveLearner ends what Learn began.
+// RemoveLearner ends the replication that AddLearner began.
 func (r *Replica) RemoveLearner(id string) {
 	r.post(func() { r.core.RemoveLearner(id) })
 }
 
-// Transfer hands leadership over, if this box has it.
+// Transfer hands over leadership if this box is the leader.
 func (r *Replica) Transfer() {
 	r.post(func() { r.core.Transfer() })
 }
@@ -266,7 +266,7 @@
 	}
 }
 
-// Close stops the replica without handing anything over.
+// Close stops the replica without handing over leadership.
 func (r *Replica) Close() {
 	close(r.stop)
 	<-r.done
--- a/replica/alone_test.go
+++ b/replica/single_voter_test.go
@@ -14,16 +14,16 @@
 	"leverdrum/wire"
 )
 
-// formed is a storage that begins with a cluster of one.
+// formed is the storage of the only voter of a cluster.
 type formed struct{ replica.MemoryStorage }
 
 func (formed) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
-// A leader without peers must not lose its lease while nothing happens: it gave no
-// orders any more (found by box TestOrderOfAnEarlierLeaderIsNoticed, 5 of 14 runs).
-func TestALeaderAloneKeepsItsLease(t *testing.T) {
+// A leader without peers must not lose its lease while idle: it then issued no more
+// orders (in 5 of 14 runs of a test of package box about an earlier leader's order).
+func TestLeaderWithoutPeersKeepsItsLease(t *testing.T) {
 	g := NewWithT(t)
 	r, err := replica.New(replica.Options{
 		Core:    consensus.Options{ID: "a/1", ElectionMin: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 80 * time.Millisecond, Seed: 1},
@@ -35,5 +35,5 @@
 	g.Eventually(lease, 10*time.Second).Should(BeTrue())
 	g.Expect(r.Barrier(context.Background())).To(Succeed())
 	time.Sleep(300 * time.Millisecond) // far longer than the lease
-	g.Eventually(lease, time.Second).Should(BeTrue(), "it is renewed by the clock alone")
+	g.Eventually(lease, time.Second).Should(BeTrue(), "the clock alone renews it")
 }
--- a/replica/asleep_test.go
+++ b/replica/suspend_test.go
@@ -13,22 +13,22 @@
 	"leverdrum/wire"
 )
 
-type aloneStorage struct{ MemoryStorage }
+type soleVoterStorage struct{ MemoryStorage }
 
-func (aloneStorage) Loaded() wal.Loaded {
+func (soleVoterStorage) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
-// A machine that was suspended wakes up with the runtime's clock where it was. Another box may lead by then: the
-// lease must be over before the first act, whatever the loop has seen of the time.
-func TestALeaseIsOverOnceTheMachineHasSlept(t *testing.T) {
+// The runtime's clock stops while the machine is suspended, and another box may lead when it resumes. The lease
+// must have expired before the first action, whatever time the loop has last seen.
+func TestLeaseExpiresDuringSuspend(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Now()
-	var slept atomic.Int64
+	var suspended atomic.Int64
 	r, err := New(Options{
 		Core:    consensus.Options{ID: "a/1", ElectionMin: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 80 * time.Millisecond, Seed: 1},
-		Storage: aloneStorage{}, Send: func(*wire.Message) {}, CompactAfter: 100, Fatal: func(error) {}, Log: zap.NewNop(),
-		Clock: func() time.Duration { return time.Since(start) + time.Duration(slept.Load()) },
+		Storage: soleVoterStorage{}, Send: func(*wire.Message) {}, CompactAfter: 100, Fatal: func(error) {}, Log: zap.NewNop(),
+		Clock: func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) },
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer r.Close()
@@ -37,9 +37,9 @@
 	stopped, goOn := make(chan struct{}), make(chan struct{})
 	g.Expect(r.post(func() { close(stopped); <-goOn })).To(BeTrue())
 	<-stopped
-	slept.Store(int64(5 * time.Second))
+	suspended.Store(int64(5 * time.Second))
 	held := lease()
 	close(goOn)
 	g.Expect(held).To(BeFalse())
-	g.Eventually(lease, 10*time.Second).Should(BeTrue(), "once it has led anew")
+	g.Eventually(lease, 10*time.Second).Should(BeTrue(), "after it is the leader again")
 }
--- a/replica/resting_test.go
+++ b/replica/tick_test.go
@@ -12,9 +12,9 @@
 	"leverdrum/wire"
 )
 
-// A box that does not vote woke up 50 times a second to look at a clock that means nothing
-// to it.
-func TestAMemberWithoutAVoteRests(t *testing.T) {
+// A box that does not vote must not wake up 50 times per second for clock ticks that have
+// no effect on it.
+func TestNonVoterTicksRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r, err := New(Options{
@@ -24,16 +24,16 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		defer r.Close()
 		time.Sleep(time.Second)
-		g.Expect(r.tickEvery()).To(Equal(restingTick))
+		g.Expect(r.tickInterval()).To(Equal(idleTick))
 		before := r.ticks.Load()
 		time.Sleep(10 * time.Second)
 		g.Expect(r.ticks.Load() - before).To(BeNumerically("<=", 10))
 	})
 }
 
-// One that votes campaigns as soon as before.
-func TestAVoterLooksAtTheClock(t *testing.T) {
+// A voter keeps the short interval, so that it campaigns without delay.
+func TestVoterTicksOften(t *testing.T) {
 	g := NewWithT(t)
-	r := leader(t)
-	g.Expect(r.tickEvery()).To(Equal(tick))
+	r := startLeader(t)
+	g.Expect(r.tickInterval()).To(Equal(tick))
 }
--- a/replica/update_test.go
+++ b/replica/update_test.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// slowLink is the link of the smallest boxes, in bytes a second, children how many
-	// boxes ask one of them at most.
+	// slowLink is the bandwidth of the slowest box links, in bytes per second;
+	// children is the maximum number of boxes that ask one such box.
 	slowLink = 10e6 / 8
 	children = 8
-	// inTime is the time that an update may take on the way, with some to spare of
-	// what package spread allows for a question.
-	inTime = 600 * time.Millisecond
+	// maxTransferTime is the maximum transfer time of an update, somewhat below the request
+	// timeout of package spread.
+	maxTransferTime = 600 * time.Millisecond
 )
 
-// leading returns a member that leads a cluster of one, and the index that it begins at.
-func leading(t *testing.T) (*replica.Replica, uint64) {
+// startLeader returns the leader of a single-voter cluster, and its first index.
+func startLeader(t *testing.T) (*replica.Replica, uint64) {
 	g := NewWithT(t)
 	r, err := replica.New(replica.Options{
 		Core:    consensus.Options{ID: "a/1", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
@@ -39,7 +39,7 @@
 	return r, r.View().Index
 }
 
-// propose has a configuration agreed that takes about so many bytes however it is packed.
+// propose commits a configuration of about size bytes that compression cannot reduce.
 func propose(t *testing.T, r *replica.Replica, number, size int) {
 	const bits, alphabet = 6, "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ+/"
 	letters := rand.New(rand.NewPCG(1, uint64(number)))
@@ -53,35 +53,35 @@
 	}
 }
 
-// Boxes that were some configurations behind got an update of up to a megabyte, which
-// eight children of a parent with a slow link could never take in within a question's
-// time: whole halls stood still.
-func TestUpdatesPassSlowLinksInTime(t *testing.T) {
+// Boxes that lag several configurations behind must not get updates of up to a megabyte:
+// eight children of a parent with a slow link could not receive them within the request
+// timeout, so that whole data halls received no more updates.
+func TestUpdatesFitSlowLinks(t *testing.T) {
 	g := NewWithT(t)
-	r, first := leading(t)
+	r, first := startLeader(t)
 	for n := range 12 {
-		propose(t, r, n+1, 25_000) // about a configuration of that site
+		propose(t, r, n+1, 25_000) // about the configuration size of the site where this failed
 	}
 	at := first
-	for asked := 0; at < r.View().Index; asked++ {
-		g.Expect(asked).To(BeNumerically("<", 12), "each update brings something on")
+	for requests := 0; at < r.View().Index; requests++ {
+		g.Expect(requests).To(BeNumerically("<", 12), "each update makes progress")
 		entries, snapshot, err := r.UpdatesSince(at)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(snapshot).To(BeNil())
-		g.Expect(asked > 0 || len(entries) < 12).To(BeTrue(), "they do not fit into one update")
+		g.Expect(requests > 0 || len(entries) < 12).To(BeTrue(), "they do not fit into one update")
 		size := 0
 		for _, e := range entries {
 			size += proto.Size(e)
 			at = e.Index
 		}
-		g.Expect(float64(size*children)/slowLink).To(BeNumerically("<", inTime.Seconds()), "%d bytes", size)
+		g.Expect(float64(size*children)/slowLink).To(BeNumerically("<", maxTransferTime.Seconds()), "%d bytes", size)
 	}
 }
 
-// A single entry that is larger goes by itself.
-func TestALargeEntryGoesByItself(t *testing.T) {
+// An entry larger than maxUpdateBytes is sent alone.
+func TestLargeEntryIsSentAlone(t *testing.T) {
 	g := NewWithT(t)
-	r, first := leading(t)
+	r, first := startLeader(t)
 	for n := range 2 {
 		propose(t, r, n+1, 300_000)
 	}
