--- a/box/crasher_test.go
+++ b/box/crasher_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	b, err := box.Start(parsed, peer.Plain{}, s.log)
+	b, err := box.Start(parsed, peer.Plaintext{}, s.log)
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/box/form.go
+++ b/box/form.go
@@ -57,7 +57,7 @@
 				answers <- answer{name, b.id.Self()}
 				return
 			}
-			m, err := b.pool.Meet(ctx, name)
+			m, err := b.pool.OpenSession(ctx, name)
 			if err != nil {
 				m = nil
 			}
--- a/box/platform_test.go
+++ b/box/platform_test.go
@@ -109,7 +109,7 @@
 }
 
 func (o *one) start() {
-	b, err := box.Start(o.settings, peer.Plain{}, o.log)
+	b, err := box.Start(o.settings, peer.Plaintext{}, o.log)
 	if err != nil {
 		o.t.Fatal(err)
 	}
--- a/control/boxes.go
+++ b/control/boxes.go
@@ -21,18 +21,18 @@
 	}
 	c.logVoterChange(status.Voters)
 	in := membership.Input{
-		Self: c.opts.Replica.ID(), Voters: status.Voters, Wanted: c.opts.WantedVoters, RepairAfter: c.opts.RepairAfter,
-		Members: c.opts.Replica.View().Members, Silent: map[string]time.Duration{}, HoldsAll: status.CaughtUp,
-		ReportAge: c.reportAges(), DisksOnly: c.opts.VotersNeedDisks,
+		Self: c.opts.Replica.ID(), Voters: status.Voters, WantedVoters: c.opts.WantedVoters, RepairAfter: c.opts.RepairAfter,
+		Members: c.opts.Replica.View().Members, ContactAge: map[string]time.Duration{}, CaughtUp: status.CaughtUp,
+		ReportAge: c.reportAges(), VotersNeedDisks: c.opts.VotersNeedDisks,
 	}
 	now := c.opts.Replica.Now()
 	for id, at := range status.LastSeen {
-		in.Silent[id] = now - at
+		in.ContactAge[id] = now - at
 	}
 	action := membership.Plan(in)
 	switch {
-	case action.Learn != "":
-		c.opts.Replica.AddLearner(action.Learn)
+	case action.Learner != "":
+		c.opts.Replica.AddLearner(action.Learner)
 	case action.Voters != nil:
 		if err := c.opts.Replica.ChangeVoters(action.Voters); err == nil {
 			event.VotersChanging.Log(c.opts.Log, zap.Strings("from", status.Voters), zap.Strings("to", action.Voters), zap.String("why", action.Reason))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -164,7 +164,7 @@
 		if s.PlainAnywhere {
 			event.PlainText.Log(log)
 		}
-		return peer.Plain{}, nil
+		return peer.Plaintext{}, nil
 	}
 	source, err := certs.Open(certs.Files(s.TLS), log)
 	if err != nil {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -30,25 +30,25 @@
 
 // Input is what the leader sees.
 type Input struct {
-	Self        string // member
-	Voters      []string
-	Wanted      int
-	RepairAfter time.Duration
-	Members     map[string]*wire.Member // by box
-	// Silent says how long ago a voter or learner answered.
-	Silent map[string]time.Duration
-	// HoldsAll says whether it holds everything that is agreed.
-	HoldsAll map[string]bool
+	Self         string // member
+	Voters       []string
+	WantedVoters int
+	RepairAfter  time.Duration
+	Members      map[string]*wire.Member // by box
+	// ContactAge says how long ago a voter or learner answered.
+	ContactAge map[string]time.Duration
+	// CaughtUp says whether it holds everything that is agreed.
+	CaughtUp map[string]bool
 	// ReportAge says how long ago any box reported through the tree.
 	ReportAge map[string]time.Duration
-	// DisksOnly keeps boxes without a disk from standing in (3).
-	DisksOnly bool
+	// VotersNeedDisks keeps boxes without a disk from standing in (3).
+	VotersNeedDisks bool
 }
 
 // Action is what is to be done next. At most one field is set.
 type Action struct {
-	// Learn names a member to send the log to.
-	Learn string
+	// Learner names a member to send the log to.
+	Learner string
 	// Voters is the new list of voters.
 	Voters []string
 	// Reason is for the log.
@@ -58,10 +58,10 @@
 // Plan returns the next action; the zero Action when there is nothing to do.
 func Plan(in Input) Action {
 	if lost := in.lost(); lost != "" {
-		return in.replace(lost, in.standIn(in.DisksOnly), "voter lost")
+		return in.replace(lost, in.standIn(in.VotersNeedDisks), "voter lost")
 	}
-	if len(in.Voters) < in.Wanted { // (1)
-		return in.replace("", in.standIn(in.DisksOnly), "voter missing")
+	if len(in.Voters) < in.WantedVoters { // (1)
+		return in.replace("", in.standIn(in.VotersNeedDisks), "voter missing")
 	}
 	if weak := in.diskless(); weak != "" { // (6)
 		return in.replace(weak, in.standIn(true), "box with a disk is back")
@@ -76,8 +76,8 @@
 		if id == in.Self || !in.isLost(id) {
 			continue
 		}
-		if in.Silent[id] > worstSilent {
-			worst, worstSilent = id, in.Silent[id]
+		if in.ContactAge[id] > worstSilent {
+			worst, worstSilent = id, in.ContactAge[id]
 		}
 	}
 	return worst
@@ -88,7 +88,7 @@
 	if m != nil && state.MemberID(m) != id {
 		return true
 	}
-	return in.Silent[id] > in.RepairAfter || m.GetLeaving()
+	return in.ContactAge[id] > in.RepairAfter || m.GetLeaving()
 }
 
 func (in Input) diskless() string {
@@ -141,11 +141,11 @@
 	if standIn == "" { // (7)
 		return Action{}
 	}
-	silent, learning := in.Silent[standIn]
+	silent, learning := in.ContactAge[standIn]
 	if !learning {
-		return Action{Learn: standIn, Reason: why}
+		return Action{Learner: standIn, Reason: why}
 	}
-	if !in.HoldsAll[standIn] || silent > heardWithin {
+	if !in.CaughtUp[standIn] || silent > heardWithin {
 		return Action{}
 	}
 	voters := slices.DeleteFunc(slices.Clone(in.Voters), func(id string) bool { return id == old })
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -17,12 +17,12 @@
 // input is three voters with disks in two halls, and two boxes without.
 func input() membership.Input {
 	in := membership.Input{
-		Self: "a/i", Voters: []string{"a/i", "b/i", "c/i"}, Wanted: 3, RepairAfter: 5 * time.Second,
+		Self: "a/i", Voters: []string{"a/i", "b/i", "c/i"}, WantedVoters: 3, RepairAfter: 5 * time.Second,
 		Members: map[string]*wire.Member{
 			"a": member("a", "h1", true), "b": member("b", "h2", true), "c": member("c", "h1", true),
 			"d": member("d", "h1", false), "e": member("e", "h2", false),
 		},
-		Silent: map[string]time.Duration{"b/i": 0, "c/i": 0}, HoldsAll: map[string]bool{"b/i": true, "c/i": true},
+		ContactAge: map[string]time.Duration{"b/i": 0, "c/i": 0}, CaughtUp: map[string]bool{"b/i": true, "c/i": true},
 		ReportAge: map[string]time.Duration{"b/i": 0, "c/i": 0, "d/i": 0, "e/i": 0},
 	}
 	return in
@@ -36,27 +36,27 @@
 		voters []string
 	}{
 		"nothing to do":           {change: func(*membership.Input) {}},
-		"a short silence is none": {change: func(in *membership.Input) { in.Silent["b/i"] = 4 * time.Second }},
+		"a short silence is none": {change: func(in *membership.Input) { in.ContactAge["b/i"] = 4 * time.Second }},
 		"a lost voter's hall first (3)": {
-			change: func(in *membership.Input) { in.Silent["b/i"] = long }, learn: "e/i",
+			change: func(in *membership.Input) { in.ContactAge["b/i"] = long }, learn: "e/i",
 		},
 		"a stand-in that holds everything counts (4)": {
 			change: func(in *membership.Input) {
-				in.Silent["b/i"], in.Silent["e/i"], in.HoldsAll["e/i"] = long, 0, true
+				in.ContactAge["b/i"], in.ContactAge["e/i"], in.CaughtUp["e/i"] = long, 0, true
 			},
 			voters: []string{"a/i", "c/i", "e/i"},
 		},
 		"one that does not yet hold everything does not (4)": {
-			change: func(in *membership.Input) { in.Silent["b/i"], in.Silent["e/i"] = long, 0 },
+			change: func(in *membership.Input) { in.ContactAge["b/i"], in.ContactAge["e/i"] = long, 0 },
 		},
 		"a silent stand-in is passed over (3)": {
-			change: func(in *membership.Input) { in.Silent["b/i"], in.ReportAge["e/i"] = long, long }, learn: "d/i",
+			change: func(in *membership.Input) { in.ContactAge["b/i"], in.ReportAge["e/i"] = long, long }, learn: "d/i",
 		},
 		"a leaving stand-in is passed over (3)": {
-			change: func(in *membership.Input) { in.Silent["b/i"], in.Members["e"].Leaving = long, true }, learn: "d/i",
+			change: func(in *membership.Input) { in.ContactAge["b/i"], in.Members["e"].Leaving = long, true }, learn: "d/i",
 		},
 		"without a stand-in nothing changes (7)": {
-			change: func(in *membership.Input) { in.Silent["b/i"], in.ReportAge = long, nil },
+			change: func(in *membership.Input) { in.ContactAge["b/i"], in.ReportAge = long, nil },
 		},
 		"a box that came back without its disk is another member (2)": {
 			change: func(in *membership.Input) {
@@ -71,12 +71,12 @@
 		"a box with a disk takes the vote back (6)": {
 			change: func(in *membership.Input) {
 				in.Voters = []string{"a/i", "c/i", "e/i"}
-				in.Silent["e/i"], in.HoldsAll["e/i"] = 0, true
+				in.ContactAge["e/i"], in.CaughtUp["e/i"] = 0, true
 			},
 			voters: []string{"a/i", "c/i", "b/i"},
 		},
 		"too few voters get another (1)": {
-			change: func(in *membership.Input) { in.Voters = []string{"a/i", "b/i"}; delete(in.Silent, "c/i") }, learn: "c/i",
+			change: func(in *membership.Input) { in.Voters = []string{"a/i", "b/i"}; delete(in.ContactAge, "c/i") }, learn: "c/i",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 			c.change(&in)
 			action := membership.Plan(in)
 			g := NewWithT(t)
-			g.Expect(action.Learn).To(Equal(c.learn))
+			g.Expect(action.Learner).To(Equal(c.learn))
 			g.Expect(action.Voters).To(Equal(c.voters))
 		})
 	}
--- a/peer/idle_test.go
+++ b/peer/idle_test.go
@@ -39,9 +39,9 @@
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	server := Serve(l, someone{"one"}, Plain{}, prompt{}, meter.New())
+	server := Serve(l, someone{"one"}, Plaintext{}, prompt{}, meter.New())
 	t.Cleanup(server.Close)
-	p := NewPool(someone{"two"}, Plain{}, "", func(string) string { return l.Addr().String() }, meter.New())
+	p := NewPool(someone{"two"}, Plaintext{}, "", func(string) string { return l.Addr().String() }, meter.New())
 	t.Cleanup(p.Close)
 	ask := func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/peer/link.go
+++ b/peer/link.go
@@ -63,7 +63,7 @@
 // silent reports whether nothing has come back for too long.
 func (s *session) silent() bool {
 	waits := s.conn.waits.Load()
-	return waits != 0 && time.Now().UnixNano()-waits >= int64(SilentSession)
+	return waits != 0 && time.Now().UnixNano()-waits >= int64(UnresponsiveTimeout)
 }
 
 // exchange asks on a stream of its own. It may go on for writeTimeout after the context
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -42,9 +42,9 @@
 	keepAlive = 5 * time.Second
 )
 
-// SilentSession is how long nothing may come back on a session that something was asked
+// UnresponsiveTimeout is how long nothing may come back on a session that something was asked
 // on, before a call that waited in vain ends it.
-const SilentSession = time.Second
+const UnresponsiveTimeout = time.Second
 
 // Identity is who this box is to others.
 type Identity interface {
@@ -64,14 +64,14 @@
 	Client(box string) *tls.Config
 }
 
-// Plain is TLS switched off.
-type Plain struct{}
+// Plaintext is TLS switched off.
+type Plaintext struct{}
 
 // Server returns nil.
-func (Plain) Server() *tls.Config { return nil }
+func (Plaintext) Server() *tls.Config { return nil }
 
 // Client returns nil.
-func (Plain) Client(string) *tls.Config { return nil }
+func (Plaintext) Client(string) *tls.Config { return nil }
 
 // RefusedError says why a peer turned this box away.
 type RefusedError struct{ Code, Text string }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -115,21 +115,21 @@
 	}
 
 	It("answers a box of its cluster", func() {
-		r, err := call(listen(peer.Plain{}), &who{box: "two", cluster: "c", id: "x"}, peer.Plain{})
+		r, err := call(listen(peer.Plaintext{}), &who{box: "two", cluster: "c", id: "x"}, peer.Plaintext{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.GetProbe().Member).To(Equal("two"))
 	})
 
 	It("lets a new box take over the cluster's id", func() {
 		id := &who{box: "two", cluster: "c"}
-		_, err := call(listen(peer.Plain{}), id, peer.Plain{})
+		_, err := call(listen(peer.Plaintext{}), id, peer.Plaintext{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(id.adopted).To(Equal("x"))
 	})
 
 	DescribeTable("turns away, with a reason and a count",
 		func(id *who, why *reason.Reason) {
-			_, err := call(listen(peer.Plain{}), id, peer.Plain{})
+			_, err := call(listen(peer.Plaintext{}), id, peer.Plaintext{})
 			var r *peer.RefusedError
 			Expect(err).To(BeAssignableToTypeOf(r))
 			Expect(err.(*peer.RefusedError).Code).To(Equal(why.Code))
@@ -180,7 +180,7 @@
 	}
 
 	It("turns away another version of the protocol", func() {
-		raw(listen(peer.Plain{}), func(y *yamux.Session) {
+		raw(listen(peer.Plaintext{}), func(y *yamux.Session) {
 			Expect(greet(y, 99).Refusal.GetCode()).To(Equal(reason.PeerVersion.Code))
 		})
 	})
@@ -188,7 +188,7 @@
 	It("turns away a build that does not know the level in force, by its reason", func() {
 		server.level = level.Newest
 		DeferCleanup(func() { server.level = level.First })
-		raw(listen(peer.Plain{}), func(y *yamux.Session) {
+		raw(listen(peer.Plaintext{}), func(y *yamux.Session) {
 			Expect(greet(y, peer.Version).Refusal.GetCode()).To(Equal(reason.PeerLevel.Code))
 		})
 	})
@@ -196,7 +196,7 @@
 	// Ending it at once lost the refusal in 15 of 360 runs: the refused box saw
 	// only the end of the session.
 	It("leaves the end of a refused session to the other side, and ends it if that side does not", func() {
-		raw(listen(peer.Plain{}), func(y *yamux.Session) {
+		raw(listen(peer.Plaintext{}), func(y *yamux.Session) {
 			greet(y, 99)
 			Consistently(y.IsClosed, "100ms").Should(BeFalse())
 			Eventually(y.IsClosed, "10s").Should(BeTrue())
@@ -205,10 +205,10 @@
 
 	DescribeTable("counts frames that cannot be read, and stays up",
 		func(write func(y *yamux.Session), why *reason.Reason) {
-			address := listen(peer.Plain{})
+			address := listen(peer.Plaintext{})
 			raw(address, write)
 			Eventually(refused(why)).Should(BeEquivalentTo(1))
-			_, err := call(address, &who{box: "three", cluster: "c", id: "x"}, peer.Plain{})
+			_, err := call(address, &who{box: "three", cluster: "c", id: "x"}, peer.Plaintext{})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(handler.got).To(BeEmpty())
 		},
@@ -229,7 +229,7 @@
 	)
 
 	It("survives a connection that speaks something else", func() {
-		address := listen(peer.Plain{})
+		address := listen(peer.Plaintext{})
 		c, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
@@ -256,7 +256,7 @@
 			Eventually(refused(reason.PeerTLS)).Should(BeEquivalentTo(1))
 		})
 		It("turns away plain text", func() {
-			_, err := call(listen(home.issue("one")), &who{box: "two", cluster: "c", id: "x"}, peer.Plain{})
+			_, err := call(listen(home.issue("one")), &who{box: "two", cluster: "c", id: "x"}, peer.Plaintext{})
 			Expect(err).To(HaveOccurred())
 			Eventually(refused(reason.PeerTLS)).Should(BeEquivalentTo(1))
 		})
@@ -298,7 +298,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	s := peer.Serve(l, &who{box: "one", cluster: "c", id: "x"}, peer.Plain{}, handler, meter.New())
+	s := peer.Serve(l, &who{box: "one", cluster: "c", id: "x"}, peer.Plaintext{}, handler, meter.New())
 	f.Cleanup(s.Close)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for len(handler.got) > 0 { // from inputs before this one
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Meet opens a new session to a box, so that both say again who they are, and
+// OpenSession opens a new session to a box, so that both say again who they are, and
 // returns who answered.
-func (p *Pool) Meet(ctx context.Context, box string) (*wire.Member, error) {
+func (p *Pool) OpenSession(ctx context.Context, box string) (*wire.Member, error) {
 	l := p.link(box)
 	l.dropAny()
 	s, err := p.session(ctx, box, l)
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -34,7 +34,7 @@
 
 // pool returns a pool whose every box is at the address.
 func pool(t *testing.T, address string) *peer.Pool {
-	p := peer.NewPool(&who{box: "two", cluster: "c", id: "x"}, peer.Plain{}, "", func(string) string { return address }, meter.New())
+	p := peer.NewPool(&who{box: "two", cluster: "c", id: "x"}, peer.Plaintext{}, "", func(string) string { return address }, meter.New())
 	t.Cleanup(p.Close)
 	return p
 }
@@ -42,7 +42,7 @@
 // serving lets a handler answer as box one and returns the address.
 func serving(t *testing.T, h peer.Handler) string {
 	l := loopback(t)
-	s := peer.Serve(l, &who{box: "one", cluster: "c", id: "x"}, peer.Plain{}, h, meter.New())
+	s := peer.Serve(l, &who{box: "one", cluster: "c", id: "x"}, peer.Plaintext{}, h, meter.New())
 	t.Cleanup(s.Close)
 	return l.Addr().String()
 }
@@ -118,7 +118,7 @@
 	<-h.asked
 	valve := <-accepted
 	valve.shut()
-	patient, cancel := context.WithTimeout(context.Background(), peer.SilentSession+100*time.Millisecond)
+	patient, cancel := context.WithTimeout(context.Background(), peer.UnresponsiveTimeout+100*time.Millisecond)
 	defer cancel()
 	g.Eventually(call(patient, p), "5s").Should(Receive(HaveOccurred()))
 	h.let <- struct{}{}
