--- a/bench/growth_test.go
+++ b/bench/growth_test.go
@@ -99,7 +99,7 @@
 		applyAll(t, st, entriesOf(t, n))
 		view := st.Clone()
 		g := gateway.New(gateway.Options{
-			Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, Notify: func(gateway.Notice) {},
+			Dialect: dialect.Native, View: func() *state.State { return view }, Current: func() bool { return true }, Notify: func(gateway.Notice) {},
 			Hall: "hall1", Meters: meter.New(), Log: zap.NewNop(),
 		})
 		g.Refresh()
--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -70,7 +70,7 @@
 		body, _ := io.ReadAll(r.Body)
 		a := &proxy.Attempt{ID: fmt.Sprint(n.Add(1)), Method: r.Method, Address: b.addresses[choose()], Path: r.URL.Path, Header: r.Header, Body: body}
 		answer, failure := sender.Send(r.Context(), a)
-		if failure != nil || answer.Rest != nil {
+		if failure != nil || answer.BodyReader != nil {
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
--- a/box/box.go
+++ b/box/box.go
@@ -339,8 +339,8 @@
 	p.quotas = newQuotas(leased{since: level.Workspaces, window: s.QuotaWindow}, self, r, p.spread, b.pool)
 	p.entry = entry.New(entry.Options{
 		Directory: p.directory, View: r.View, Current: func() bool { return b.warm.Load() && p.spread.Current() }, Sender: proxy.NewSender(),
-		Meters: b.meters, Records: b.records, MaxBody: s.MaxBody, BodyTimeout: s.BodyTimeout, Guard: p.guard,
-		Crashes: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
+		Meters: b.meters, Records: b.records, MaxBody: s.MaxBody, BodyTimeout: s.BodyTimeout, Claims: p.guard,
+		ReportCrash: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
 	})
 	p.gateway = b.newGateway(p)
 	p.platform = platform.Control(&platformCluster{b, p})
--- a/box/directory.go
+++ b/box/directory.go
@@ -30,7 +30,7 @@
 		view := p.replica.View()
 		began := time.Now()
 		p.directory.Update(view)
-		p.entry.Changed()
+		p.entry.Refresh()
 		p.gateway.Refresh()
 		if p.spread.Current() && p.replica.View() == view {
 			b.warm.Store(true)
--- a/box/platform.go
+++ b/box/platform.go
@@ -37,7 +37,7 @@
 
 func (b *Box) newGateway(p *parts) *gateway.Gateway {
 	s := b.settings
-	own := dialect.Own
+	own := dialect.Native
 	if s.Dialect == settings.DialectPlatform {
 		own = platform.Dialect
 	}
--- a/box/quotas.go
+++ b/box/quotas.go
@@ -117,7 +117,7 @@
 		if agreed := throttle.EffectiveLimit(view.LimitOf(a.Name), view.WarmUpLimit(a.Name)); agreed.Bounded() {
 			return agreed, true
 		}
-		told := throttle.LimitOf(dialect.LimitOf(a.PerSecond))
+		told := throttle.LimitOf(dialect.NewLimit(a.PerSecond))
 		return told, told.Bounded()
 	}
 }
@@ -128,7 +128,7 @@
 	for _, a := range asks {
 		ask := &wire.QuotaAsk{Workspace: a.Name, Rank: uint32(a.Rank), Need: a.Pending, Least: a.SmallestPending, Ahead: a.Prefetch, Unused: a.Unused}
 		if q.of.servers {
-			ask.MilliLimit = uint32(dialect.LimitOf(a.PerSecond))
+			ask.MilliLimit = uint32(dialect.NewLimit(a.PerSecond))
 		}
 		call.Asks = append(call.Asks, ask)
 	}
--- a/box/reports.go
+++ b/box/reports.go
@@ -69,5 +69,5 @@
 		})
 	}
 	wg.Wait()
-	p.entry.Changed()
+	p.entry.Refresh()
 }
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -71,8 +71,8 @@
 
 const headerMaxTokens = "X-Max-Tokens"
 
-// Own is the product's own dialect.
-var Own = Dialect{
+// Native is the product's own dialect.
+var Native = Dialect{
 	RequestID: "X-Request-Id", Deadline: "X-Deadline-Ms", LastEvent: "Last-Event-Id", Instance: "X-Instance", ServerID: "X-Server-Id",
 	Rank: "X-Rank", Stamp: "X-Server-Stamp", NotRun: "X-Not-Run", Key: "X-Api-Key", Workspace: "X-Workspace", Limit: "X-Server-Limit",
 	Draining: "X-Server-Draining", DrainTTL: ownDrainTTL,
--- a/dialect/limit.go
+++ b/dialect/limit.go
@@ -25,18 +25,18 @@
 // PerSecond returns the limit in requests a second.
 func (l Limit) PerSecond() float64 { return float64(l) / 1000 }
 
-// LimitOf returns the limit of so many requests a second, 0 for none.
-func LimitOf(perSecond float64) Limit {
+// NewLimit returns the limit of so many requests a second, 0 for none.
+func NewLimit(perSecond float64) Limit {
 	if !(perSecond > 0) {
 		return 0
 	}
 	return Limit(min(max(perSecond*1000, float64(leastLimit)), float64(mostLimit)))
 }
 
-// ReadLimit reads the values of the header that names a limit, in decimals. Without a value there is no limit. Of
+// ParseLimit reads the values of the header that names a limit, in decimals. Without a value there is no limit. Of
 // several the lowest holds. What cannot be read names nothing: said is false then, and the limit
 // before stands. The error says what was passed over or clamped.
-func ReadLimit(values []string) (l Limit, said bool, err error) {
+func ParseLimit(values []string) (l Limit, said bool, err error) {
 	if len(values) == 0 {
 		return 0, true, nil
 	}
--- a/dialect/limit_test.go
+++ b/dialect/limit_test.go
@@ -32,7 +32,7 @@
 		"twice, one of them reads": {[]string{"x", "2"}, 2000, true, true},
 	} {
 		g := NewWithT(t)
-		limit, said, err := ReadLimit(c.values)
+		limit, said, err := ParseLimit(c.values)
 		g.Expect(limit).To(Equal(c.limit), name)
 		g.Expect(said).To(Equal(c.said), name)
 		g.Expect(err != nil).To(Equal(c.faulty), name)
@@ -46,7 +46,7 @@
 	}
 	f.Fuzz(func(t *testing.T, a, b string) {
 		g := NewWithT(t)
-		limit, said, err := ReadLimit([]string{a, b})
+		limit, said, err := ParseLimit([]string{a, b})
 		if said {
 			g.Expect(limit).To(BeNumerically(">=", leastLimit))
 			g.Expect(limit).To(BeNumerically("<=", mostLimit))
--- a/dialect/report.go
+++ b/dialect/report.go
@@ -8,24 +8,24 @@
 // Report is what an answer says of the server that gave it, beside the answer to its request. The zero value says
 // nothing.
 type Report struct {
-	// Own tells that the answer is surely the server's: only then does one without a limit say that there is none.
-	Own bool
+	// FromServer tells that the answer is surely the server's: only then does one without a limit say that there is none.
+	FromServer bool
 	// HasLimit tells that the answer names a limit that can be read, LimitErr why it is not taken as it is.
 	HasLimit bool
 	Limit    Limit
 	LimitErr error
-	// Rest is for how long the server wants no request from the box that it answered, 0 where it does not say;
+	// Backoff is for how long the server wants no request from the box that it answered, 0 where it does not say;
 	// RestErr tells why it is not taken as it is.
-	Rest    time.Duration
-	RestErr error
+	Backoff    time.Duration
+	BackoffErr error
 	// Draining tells that the server is about to end. DrainTTL bounds for how long that holds; 0: for the server's life.
 	Draining    bool
 	DrainTTL    time.Duration
 	DrainingErr error
 }
 
-// OfAnother reports whether an answer is of another server than the one that was meant; "" where none was.
-func (d *Dialect) OfAnother(h http.Header, meant string) bool {
+// FromOtherServer reports whether an answer is of another server than the one that was meant; "" where none was.
+func (d *Dialect) FromOtherServer(h http.Header, meant string) bool {
 	id := h.Get(d.ServerID)
 	return id != "" && meant != "" && id != meant
 }
@@ -35,15 +35,15 @@
 
 // ReadReport reads the headers of an answer by which its server speaks of itself.
 func (d *Dialect) ReadReport(status int, h http.Header, now time.Time) Report {
-	r := Report{Own: d.Stamp != "" && h.Get(d.Stamp) != ""}
+	r := Report{FromServer: d.Stamp != "" && h.Get(d.Stamp) != ""}
 	if values := h[d.Limit]; len(values) > 0 {
-		r.Limit, r.HasLimit, r.LimitErr = ReadLimit(values)
+		r.Limit, r.HasLimit, r.LimitErr = ParseLimit(values)
 	}
 	if values := h[headerRetryAfter]; len(values) > 0 && status == http.StatusServiceUnavailable {
-		r.Rest, r.RestErr = ReadRest(values, h.Get("Date"), now)
+		r.Backoff, r.BackoffErr = ParseRetryAfter(values, h.Get("Date"), now)
 	}
 	if values := h[d.Draining]; len(values) > 0 {
-		r.Draining, r.DrainingErr = ReadDraining(values)
+		r.Draining, r.DrainingErr = ParseDraining(values)
 		r.DrainTTL = d.DrainTTL
 	}
 	return r
--- a/dialect/report_test.go
+++ b/dialect/report_test.go
@@ -35,7 +35,7 @@
 		"words":                       {[]string{"later"}, "", 0, true},
 	} {
 		g := NewWithT(t)
-		rest, err := ReadRest(c.values, c.date, answeredAt)
+		rest, err := ParseRetryAfter(c.values, c.date, answeredAt)
 		g.Expect(rest).To(Equal(c.rest), name)
 		g.Expect(err != nil).To(Equal(c.faulty), name)
 	}
@@ -56,7 +56,7 @@
 		"twice, one is strange": {[]string{"x", "1"}, true, true},
 	} {
 		g := NewWithT(t)
-		draining, err := ReadDraining(c.values)
+		draining, err := ParseDraining(c.values)
 		g.Expect(draining).To(Equal(c.draining), name)
 		g.Expect(err != nil).To(Equal(c.faulty), name)
 	}
@@ -66,25 +66,25 @@
 func TestReportsAreRead(t *testing.T) {
 	g := NewWithT(t)
 	h := http.Header{"Retry-After": {"2"}, "X-Server-Draining": {"1"}, "X-Server-Limit": {"3"}, "X-Server-Stamp": {"s"}}
-	r := Own.ReadReport(http.StatusServiceUnavailable, h, answeredAt)
-	g.Expect(r).To(Equal(Report{Own: true, HasLimit: true, Limit: 3000, Rest: 2 * time.Second, Draining: true, DrainTTL: Own.DrainTTL}))
+	r := Native.ReadReport(http.StatusServiceUnavailable, h, answeredAt)
+	g.Expect(r).To(Equal(Report{FromServer: true, HasLimit: true, Limit: 3000, Backoff: 2 * time.Second, Draining: true, DrainTTL: Native.DrainTTL}))
 	for _, status := range []int{http.StatusOK, http.StatusTooManyRequests, http.StatusMovedPermanently, http.StatusMisdirectedRequest} {
-		g.Expect(Own.ReadReport(status, h, answeredAt).Rest).To(BeZero(), http.StatusText(status))
+		g.Expect(Native.ReadReport(status, h, answeredAt).Backoff).To(BeZero(), http.StatusText(status))
 	}
-	g.Expect(Own.ReadReport(http.StatusServiceUnavailable, http.Header{}, answeredAt)).To(Equal(Report{}))
+	g.Expect(Native.ReadReport(http.StatusServiceUnavailable, http.Header{}, answeredAt)).To(Equal(Report{}))
 }
 
 // An answer that says nothing of its server costs no allocation.
 func TestReportsOfSilentAnswersAllocateNothing(t *testing.T) {
 	h := http.Header{"Content-Type": {"text/event-stream"}, "X-Server-Stamp": {"s"}, "Date": {"Thu, 03 Dec 2026 07:00:05 GMT"}}
-	NewWithT(t).Expect(testing.AllocsPerRun(100, func() { Own.ReadReport(http.StatusOK, h, answeredAt) })).To(BeZero())
+	NewWithT(t).Expect(testing.AllocsPerRun(100, func() { Native.ReadReport(http.StatusOK, h, answeredAt) })).To(BeZero())
 }
 
 func BenchmarkReadReport(b *testing.B) {
 	h := http.Header{"Content-Type": {"text/event-stream"}, "X-Server-Stamp": {"s"}, "Date": {"Thu, 03 Dec 2026 07:00:05 GMT"}}
 	b.ReportAllocs()
 	for b.Loop() {
-		Own.ReadReport(http.StatusOK, h, answeredAt)
+		Native.ReadReport(http.StatusOK, h, answeredAt)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	f.Fuzz(func(t *testing.T, a, b, date string) {
 		g := NewWithT(t)
-		rest, err := ReadRest([]string{a, b}, date, answeredAt)
+		rest, err := ParseRetryAfter([]string{a, b}, date, answeredAt)
 		g.Expect(rest).To(BeNumerically(">=", 0))
 		g.Expect(rest).To(BeNumerically("<=", maxRest))
 		if err != nil {
@@ -107,7 +107,7 @@
 func FuzzReadDraining(f *testing.F) {
 	f.Add("1", "x")
 	f.Fuzz(func(t *testing.T, a, b string) {
-		if _, err := ReadDraining([]string{a, b}); err != nil {
+		if _, err := ParseDraining([]string{a, b}); err != nil {
 			NewWithT(t).Expect(len(err.Error())).To(BeNumerically("<", 300))
 		}
 	})
--- a/dialect/rest.go
+++ b/dialect/rest.go
@@ -11,10 +11,10 @@
 // maxRest stands for longer rests: no server's life is longer, and no clock overflows.
 const maxRest = 365 * 24 * time.Hour
 
-// ReadRest reads the values of Retry-After: seconds, with fractions or without, or a date, which counts from the answer's own
+// ParseRetryAfter reads the values of Retry-After: seconds, with fractions or without, or a date, which counts from the answer's own
 // Date where it has one. Of several the longest holds. What cannot be read is skipped; the error says what was
 // skipped or clamped.
-func ReadRest(values []string, date string, now time.Time) (rest time.Duration, err error) {
+func ParseRetryAfter(values []string, date string, now time.Time) (rest time.Duration, err error) {
 	if answered, dateErr := http.ParseTime(date); dateErr == nil {
 		now = answered
 	}
@@ -46,9 +46,9 @@
 	return time.Duration(math.Ceil(seconds * float64(time.Second))), true
 }
 
-// ReadDraining reads the values of the header by which a server says that it is about to end. One that says so is
+// ParseDraining reads the values of the header by which a server says that it is about to end. One that says so is
 // enough.
-func ReadDraining(values []string) (draining bool, err error) {
+func ParseDraining(values []string) (draining bool, err error) {
 	for _, v := range values {
 		one, parseErr := strconv.ParseBool(strings.TrimSpace(v))
 		if parseErr != nil {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -106,8 +106,8 @@
 func NewClient(allowed func() bool, said Pushback) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
-		reads:  Heed(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1}}, said, &dialect.Own),
-		orders: Heed(Guarded(allowed), said, &dialect.Own),
+		reads:  Heed(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1}}, said, &dialect.Native),
+		orders: Heed(Guarded(allowed), said, &dialect.Native),
 	}
 }
 
--- a/engine/heed.go
+++ b/engine/heed.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !t.dialect.OfAnother(resp.Header, r.Header.Get(t.dialect.Instance)) {
+	if !t.dialect.FromOtherServer(resp.Header, r.Header.Get(t.dialect.Instance)) {
 		t.pushback.Observe(c.server, r.Method+" "+r.URL.Path, t.dialect.ReadReport(resp.StatusCode, resp.Header, time.Now()))
 	}
 	return resp, nil
--- a/entry/crashers.go
+++ b/entry/crashers.go
@@ -96,7 +96,7 @@
 }
 
 // noteServed remembers that a request was answered in full.
-func (e *Entry) noteServed(j *job, a *proxy.Answer) {
+func (e *Entry) noteServed(j *job, a *proxy.Response) {
 	if a.Status < http.StatusMultipleChoices {
 		e.broken.RecordServed(e.print(j), "", &e.opts.View().Crashers)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -53,10 +53,10 @@
 	MaxBody int64
 	// BodyTimeout bounds the reading of a body; 0: no bound.
 	BodyTimeout time.Duration
-	// Crashes tells of requests under which servers ended; nil where nobody is to hear. It must not block.
-	Crashes func(*wire.CrashReport)
-	// Guard guards the keys of calls that may run at most once.
-	Guard Guard
+	// ReportCrash tells of requests under which servers ended; nil where nobody is to hear. It must not block.
+	ReportCrash func(*wire.CrashReport)
+	// Claims guards the keys of calls that may run at most once.
+	Claims ClaimStore
 	// Quotas bounds what workspaces are served; nil where nothing does.
 	Quotas *rate.Limiter
 	// Pushback keeps to what backends say of themselves; nil where none does.
@@ -79,10 +79,10 @@
 
 // New returns an Entry.
 func New(opts Options) *Entry {
-	if opts.Crashes == nil {
-		opts.Crashes = func(*wire.CrashReport) {}
+	if opts.ReportCrash == nil {
+		opts.ReportCrash = func(*wire.CrashReport) {}
 	}
-	e := &Entry{broken: crasher.NewWatcher(opts.Crashes), opts: opts, gate: admit.NewController(opts.Directory), budget: newBudget(), patience: newPatience(), demand: newDemand()}
+	e := &Entry{broken: crasher.NewWatcher(opts.ReportCrash), opts: opts, gate: admit.NewController(opts.Directory), budget: newBudget(), patience: newPatience(), demand: newDemand()}
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", e.chat)
 	r.Get("/v1/models", e.models)
@@ -110,8 +110,8 @@
 // InFlight returns the count of requests being served.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Changed starts requests that can start after the routes changed.
-func (e *Entry) Changed() {
+// Refresh starts requests that can start after the routes changed.
+func (e *Entry) Refresh() {
 	e.gate.Dispatch()
 	e.noteEnded(e.opts.View())
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -20,8 +20,8 @@
 	"leverdrum/workspace"
 )
 
-// Guard guards keys, see package keyed.
-type Guard interface {
+// ClaimStore guards keys, see package keyed.
+type ClaimStore interface {
 	Acquire(ctx context.Context, key, attempt string, digest []byte) claim.Answer
 	Record(key, attempt string, digest []byte, r *claim.Result)
 	Release(key, attempt string)
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), j.deadline())
 	defer cancel()
 	attempt, digest := rand.Text(), digestOf(&j.attempt)
-	answer := e.opts.Guard.Acquire(ctx, j.key, attempt, digest)
+	answer := e.opts.Claims.Acquire(ctx, j.key, attempt, digest)
 	if answer.Verdict != claim.Granted {
 		e.answerStanding(w, j, answer)
 		return
@@ -77,7 +77,7 @@
 		e.giveUp(w, j, res)
 		return
 	}
-	e.opts.Guard.Record(j.key, attempt, digest, resultOf(res.answer))
+	e.opts.Claims.Record(j.key, attempt, digest, resultOf(res.answer))
 	e.pass(ctx, w, j, res)
 }
 
@@ -85,15 +85,15 @@
 // servers did not run under this key: under one by which it had, it would not have come so far.
 func (e *Entry) keepFailure(j *job, attempt string, digest []byte, why *reason.Reason) {
 	if why.Outcome == reason.NotRun || why == reason.CrashesServers {
-		e.opts.Guard.Release(j.key, attempt)
+		e.opts.Claims.Release(j.key, attempt)
 		return
 	}
-	e.opts.Guard.Record(j.key, attempt, digest, &claim.Result{Outcome: string(why.Outcome)})
+	e.opts.Claims.Record(j.key, attempt, digest, &claim.Result{Outcome: string(why.Outcome)})
 }
 
 // resultOf is what is kept of an answer.
-func resultOf(a *proxy.Answer) *claim.Result {
-	if a.Rest != nil {
+func resultOf(a *proxy.Response) *claim.Result {
+	if a.BodyReader != nil {
 		return &claim.Result{Outcome: keyed.OutcomeTooLarge, Status: a.Status}
 	}
 	var header bytes.Buffer
@@ -130,7 +130,7 @@
 		return reason.KeyMismatch
 	case a.Verdict != claim.Taken || a.Conflict == nil:
 		return reason.NoClaim
-	case a.Conflict.Result == nil && e.opts.Guard.AgeOf(a.Conflict) < j.target.Class.Deadline+runningSlack:
+	case a.Conflict.Result == nil && e.opts.Claims.AgeOf(a.Conflict) < j.target.Class.Deadline+runningSlack:
 		return reason.KeyInProgress
 	case a.Conflict.Result == nil || a.Conflict.Result.Outcome == string(reason.Unknown):
 		return reason.KeyUnknown
@@ -142,11 +142,11 @@
 
 var errKept = errors.New("the kept answer cannot be read")
 
-func keptAnswer(r *claim.Result) (*proxy.Answer, error) {
+func keptAnswer(r *claim.Result) (*proxy.Response, error) {
 	lines := textproto.NewReader(bufio.NewReader(io.MultiReader(bytes.NewReader(r.Header), strings.NewReader("\r\n"))))
 	header, err := lines.ReadMIMEHeader()
 	if err != nil {
 		return nil, errors.Join(errKept, err)
 	}
-	return &proxy.Answer{Status: r.Status, Header: http.Header(header), Body: r.Body}, nil
+	return &proxy.Response{Status: r.Status, Header: http.Header(header), Body: r.Body}, nil
 }
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -72,7 +72,7 @@
 		Now: clock.New().Now, Window: 4 * time.Second, Boxes: func() int { return boxes },
 		Lease: func(_ context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
 			limitOf := func(a rate.LimitRequest) (rate.Limit, bool) {
-				return throttle.LimitOf(dialect.LimitOf(a.PerSecond)), true
+				return throttle.LimitOf(dialect.NewLimit(a.PerSecond)), true
 			}
 			return lessor.Lease(name, epoch, rate.Leadership{IsLeader: true, Term: 1, Boxes: boxes}, limitOf, asks), nil
 		},
--- a/entry/patience.go
+++ b/entry/patience.go
@@ -85,7 +85,7 @@
 
 // sendPatiently makes an attempt, and gives it up when it takes too long and
 // another one is allowed and would have the usual time.
-func (e *Entry) sendPatiently(ctx context.Context, j *job, a *proxy.Attempt) (*proxy.Answer, *proxy.Failure) {
+func (e *Entry) sendPatiently(ctx context.Context, j *job, a *proxy.Attempt) (*proxy.Response, *proxy.Failure) {
 	began := time.Now()
 	limit := e.patience.limit(j.kind)
 	may := limit > 0 && j.repeatable && j.tries == 1 && len(j.target.Backends) > 1
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -68,18 +68,18 @@
 
 // observe records what an answer says of its backend, and gives back the permit of an attempt that was not sent. It reports
 // whether the backend asked for rest: that is no failure.
-func (e *Entry) observe(j *job, b *route.Backend, answer *proxy.Answer, failure *proxy.Failure) (rests bool) {
+func (e *Entry) observe(j *job, b *route.Backend, answer *proxy.Response, failure *proxy.Failure) (rests bool) {
 	switch {
 	case answer != nil:
-		said := dialect.Own.ReadReport(answer.Status, answer.Header, time.Now())
-		said.Own = true
+		said := dialect.Native.ReadReport(answer.Status, answer.Header, time.Now())
+		said.FromServer = true
 		e.opts.Pushback.Observe(b.Name, j.id, said)
-		rests = said.Rest > 0
+		rests = said.Backoff > 0
 	case failure.Header != nil:
-		said := dialect.Own.ReadReport(failure.Status, failure.Header, time.Now())
-		said.Own = false
+		said := dialect.Native.ReadReport(failure.Status, failure.Header, time.Now())
+		said.FromServer = false
 		e.opts.Pushback.Observe(b.Name, j.id, said)
-		rests = said.Rest > 0
+		rests = said.Backoff > 0
 	}
 	if failure != nil && (failure.Reason == reason.NotReached || failure.Reason == reason.ServersResting) {
 		j.permit.Release()
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -16,8 +16,8 @@
 // usageOf reads what a request says of its tokens; most is the most that may be produced, by its body, 0 where that
 // does not tell.
 func usageOf(r *http.Request, most int) workspace.Usage {
-	told := dialect.Own.Usage(r.Header)
-	if most <= 0 || told.Known && r.Header.Get(dialect.Own.MaxTokens) != "" {
+	told := dialect.Native.Usage(r.Header)
+	if most <= 0 || told.Known && r.Header.Get(dialect.Native.MaxTokens) != "" {
 		return told
 	}
 	return workspace.NewUsage(told.Tokens, float64(most))
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -66,7 +66,7 @@
 // result is how a job ended: with an answer or with a reason. Backend is the one
 // whose place is still held, nil for none.
 type result struct {
-	answer  *proxy.Answer
+	answer  *proxy.Response
 	backend *route.Backend
 	why     *reason.Reason
 	detail  string
@@ -184,22 +184,22 @@
 }
 
 // failed reports whether an answer says that the backend failed at the request.
-func failed(a *proxy.Answer) bool {
+func failed(a *proxy.Response) bool {
 	switch a.Status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return a.Rest == nil
+		return a.BodyReader == nil
 	}
 	return false
 }
 
-func failedAnswer(a *proxy.Answer) *proxy.Failure {
+func failedAnswer(a *proxy.Response) *proxy.Failure {
 	return &proxy.Failure{Outcome: reason.Failed, Reason: reason.BackendFailed, Cause: fmt.Errorf("the backend server answered %d", a.Status)}
 }
 
 // settle notes what an answer says of the backends. A failed answer is held
 // against its backend, unless others failed at the same request: then the fault
 // may be the request's.
-func (e *Entry) settle(j *job, b *route.Backend, a *proxy.Answer) {
+func (e *Entry) settle(j *job, b *route.Backend, a *proxy.Response) {
 	switch {
 	case !failed(a):
 		b.RecordSuccess()
@@ -249,12 +249,12 @@
 	return nil
 }
 
-func (e *Entry) attempt(ctx context.Context, j *job, b *route.Backend) (*proxy.Answer, *proxy.Failure) {
+func (e *Entry) attempt(ctx context.Context, j *job, b *route.Backend) (*proxy.Response, *proxy.Failure) {
 	a := j.attempt
 	a.ID = j.id + "." + strconv.Itoa(j.tries)
 	j.tries++
 	a.Address = b.Address
-	a.Once = !j.repeatable
+	a.NonRepeatable = !j.repeatable
 	a.Header = attemptHeaders(j.attempt.Header, time.Until(j.deadline()))
 	j.sentAt, j.firstAt = time.Now(), time.Time{}
 	a.Sendable = func() bool { return e.opts.Pushback.Sendable(b.Name) }
@@ -271,7 +271,7 @@
 // is taken off first, so that it cannot take the deadline off.
 func attemptHeaders(from http.Header, left time.Duration) http.Header {
 	h := http.Header{}
-	proxy.PassHeaders(h, from)
+	proxy.CopyEndToEndHeaders(h, from)
 	h.Set(HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 	return h
 }
@@ -289,7 +289,7 @@
 // pass hands the answer to the caller and frees the place at the backend.
 func (e *Entry) pass(ctx context.Context, w http.ResponseWriter, j *job, res result) {
 	outcome := setHead(w, j, res.answer)
-	if res.answer.Rest == nil {
+	if res.answer.BodyReader == nil {
 		// A caller that has gone does not read its answer.
 		_, _ = w.Write(res.answer.Body)
 		e.left(j, &res, time.Since(j.ticket.StartedAt()))
@@ -305,7 +305,7 @@
 		answered = time.Since(j.ticket.StartedAt())
 		e.noteServed(j, res.answer)
 		e.passed(j, res.backend, outcome)
-	case errors.Is(err, proxy.ErrCallerGone):
+	case errors.Is(err, proxy.ErrCallerDisconnected):
 		e.finished(j, "caller-gone", "the caller hung up")
 	default:
 		e.breakOff(w, j, res.backend, isStream, err)
@@ -320,16 +320,16 @@
 	}
 }
 
-func setHead(w http.ResponseWriter, j *job, answer *proxy.Answer) reason.Outcome {
+func setHead(w http.ResponseWriter, j *job, answer *proxy.Response) reason.Outcome {
 	h := w.Header()
-	proxy.PassHeaders(h, answer.Header)
+	proxy.CopyEndToEndHeaders(h, answer.Header)
 	h.Set(HeaderRequestID, j.id)
 	outcome := reason.Done
 	if answer.Status >= http.StatusInternalServerError {
 		outcome = reason.Failed
 	}
 	h.Set(HeaderOutcome, string(outcome))
-	if answer.Rest == nil {
+	if answer.BodyReader == nil {
 		h.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	}
 	w.WriteHeader(answer.Status)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -23,13 +23,13 @@
 // place is held, nil for none.
 func (e *Entry) passRest(ctx context.Context, w http.ResponseWriter, j *job, res *result) error {
 	if !res.answer.Stream {
-		return proxy.CopyRest(w, res.answer, proxy.Copying{})
+		return proxy.CopyBody(w, res.answer, proxy.CopyOptions{})
 	}
 	relay := stream.New(lastEvent(j))
 	version := res.answer.Version
 	for resumes := 0; ; {
-		err := proxy.CopyRest(w, res.answer, e.copying(j, relay, res.backend))
-		if err == nil || errors.Is(err, proxy.ErrCallerGone) || errors.Is(err, stream.ErrGap) {
+		err := proxy.CopyBody(w, res.answer, e.copying(j, relay, res.backend))
+		if err == nil || errors.Is(err, proxy.ErrCallerDisconnected) || errors.Is(err, stream.ErrGap) {
 			return err
 		}
 		at, can := relay.Position()
@@ -56,8 +56,8 @@
 
 // copying says how a stream is passed on: its first event is timed, and where it
 // can go on elsewhere it is broken off when it stalls.
-func (e *Entry) copying(j *job, relay *stream.Relay, b *route.Backend) proxy.Copying {
-	how := proxy.Copying{Relay: relay, First: func() {
+func (e *Entry) copying(j *job, relay *stream.Relay, b *route.Backend) proxy.CopyOptions {
+	how := proxy.CopyOptions{Relay: relay, OnFirstEvent: func() {
 		j.firstAt = time.Now()
 		e.gate.RecordFirstEvent(j.ticket, time.Since(j.ticket.StartedAt()))
 		if due := j.ticket.FirstEventDeadline; !due.IsZero() && time.Now().After(due) {
@@ -65,7 +65,7 @@
 		}
 	}}
 	if b.ResumesStreams {
-		how.StallAfter, how.Stalled = j.target.Class.StallAfter, e.budget.left
+		how.StallAfter, how.AbortStalled = j.target.Class.StallAfter, e.budget.left
 	}
 	return how
 }
@@ -99,8 +99,8 @@
 	if failure == nil && answer.Stream && answer.Version == version && answer.Status == http.StatusOK {
 		return result{answer: answer, backend: b}
 	}
-	if failure == nil && answer.Rest != nil {
-		answer.Rest.Close()
+	if failure == nil && answer.BodyReader != nil {
+		answer.BodyReader.Close()
 	}
 	e.gate.Release(b, j.ticket, 0)
 	return result{}
--- a/gateway/crashers_test.go
+++ b/gateway/crashers_test.go
@@ -87,7 +87,7 @@
 // serveOne serves one request and returns its status.
 func serveOne(view *state.State, seen *told) int {
 	gate := New(Options{
-		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true }, DrainingDuration: time.Minute,
+		Dialect: dialect.Native, View: func() *state.State { return view }, Current: func() bool { return true }, DrainingDuration: time.Minute,
 		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, ReportCrash: seen.add, Meters: meter.New(), Log: zap.NewNop(),
 	})
 	gate.Refresh()
@@ -156,7 +156,7 @@
 	var current atomic.Pointer[state.State]
 	current.Store(view)
 	gate := New(Options{
-		Dialect: dialect.Own, View: current.Load, Current: func() bool { return true }, DrainingDuration: time.Minute,
+		Dialect: dialect.Native, View: current.Load, Current: func() bool { return true }, DrainingDuration: time.Minute,
 		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, ReportCrash: seen.add, Meters: meter.New(), Log: zap.NewNop(),
 	})
 	gate.Refresh()
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -225,7 +225,7 @@
 // passHeaders copies what is for the other end.
 func passHeaders(from http.Header) http.Header {
 	to := http.Header{}
-	proxy.PassHeaders(to, from)
+	proxy.CopyEndToEndHeaders(to, from)
 	return to
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -145,7 +145,7 @@
 	}
 	lines, logged := observer.New(zap.InfoLevel)
 	s.logged = logged
-	own := dialect.Own
+	own := dialect.Native
 	own.Fetch, own.Reserved = "X-Fetch", []string{"X-Reserved"}
 	s.gate = gateway.New(gateway.Options{
 		Dialect: own, View: func() *state.State { return s.view }, Current: func() bool { s.asked(); return true }, Hall: "h",
--- a/gateway/learned_test.go
+++ b/gateway/learned_test.go
@@ -39,7 +39,7 @@
 	address := backend.Listener.Addr().(*net.TCPAddr).String()
 	view.Announcements.Set("i", &wire.Announcement{Id: "i", Service: "s", Address: address, Slots: 4})
 	gate := New(Options{
-		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true },
+		Dialect: dialect.Native, View: func() *state.State { return view }, Current: func() bool { return true },
 		Budget: Budget{Ratio: 1, Slack: 9, Window: time.Second}, Meters: meter.New(), Log: zap.NewNop(),
 	})
 	gate.Refresh()
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -15,7 +15,7 @@
 // observe records what an answer says of its server. An answer of another server at the address says nothing of this one.
 func (j *job) observe(s *server, resp *http.Response) {
 	d := &j.g.opts.Dialect
-	if d.OfAnother(resp.Header, s.name) {
+	if d.FromOtherServer(resp.Header, s.name) {
 		return
 	}
 	j.g.opts.Pushback.Observe(s.id, j.id, d.ReadReport(resp.StatusCode, resp.Header, time.Now()))
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -66,7 +66,7 @@
 			said := pushback.New(pushback.Options{Now: func() time.Duration { return time.Since(began) }, Boxes: func() int { return 1 }, Log: zap.NewNop()})
 			gate := New(Options{View: state.New, Pushback: said, Notify: func(Notice) {}})
 			rests, copied := newServer(&wire.Announcement{Id: "i1", Slots: 4, Address: "127.0.0.1:1"}), newServer(&wire.Announcement{Id: "i2", Slots: 4, Address: "127.0.0.1:2"})
-			said.Observe("i1", "r", dialect.Report{Rest: row.rest})
+			said.Observe("i1", "r", dialect.Report{Backoff: row.rest})
 			f := fleet.New()
 			f.Models["m"] = &fleet.Model{Name: "m"}
 			set := func(holding ...*server) {
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -213,7 +213,7 @@
 	g := NewWithT(t)
 	view := viewOf(fleet.Streaming, "127.0.0.1:1")
 	gate := New(Options{
-		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true },
+		Dialect: dialect.Native, View: func() *state.State { return view }, Current: func() bool { return true },
 		Budget: Budget{Ratio: 1, Slack: 100, Window: 10 * time.Second}, Meters: meter.New(), Log: zap.NewNop(),
 	})
 	gate.Refresh()
--- a/proxy/copy.go
+++ b/proxy/copy.go
@@ -13,33 +13,33 @@
 // ErrTruncated: the stream ended without its last event.
 var ErrTruncated = Error.New("the stream ended without its last event")
 
-// ErrCallerGone: the caller hung up.
-var ErrCallerGone = errors.New("the caller hung up")
+// ErrCallerDisconnected: the caller hung up.
+var ErrCallerDisconnected = errors.New("the caller hung up")
 
 const copyBuffer = 16 << 10
 
-// Copying is how the rest of an answer is passed on.
-type Copying struct {
+// CopyOptions is how the rest of an answer is passed on.
+type CopyOptions struct {
 	// Relay is what a stream goes through, nil for what is no stream.
 	Relay *stream.Relay
-	// First is called when the first event was passed on.
-	First func()
+	// OnFirstEvent is called when the first event was passed on.
+	OnFirstEvent func()
 	// StallAfter is how long a stream may be silent before Stalled is asked
 	// whether to break it off; 0: for ever.
-	StallAfter time.Duration
-	Stalled    func() bool
+	StallAfter   time.Duration
+	AbortStalled func() bool
 }
 
-// CopyRest passes the rest of an answer on as it comes. The answer was whole only
+// CopyBody passes the rest of an answer on as it comes. The answer was whole only
 // if no error comes back (3).
-func CopyRest(w http.ResponseWriter, answer *Answer, how Copying) error {
-	defer answer.Rest.Close()
+func CopyBody(w http.ResponseWriter, answer *Response, how CopyOptions) error {
+	defer answer.BodyReader.Close()
 	c := copier{w: w, flusher: http.NewResponseController(w), how: how}
-	watch := newWatch(answer.Rest, how)
+	watch := newWatch(answer.BodyReader, how)
 	defer watch.stop()
 	buf := make([]byte, copyBuffer)
 	for {
-		n, err := answer.Rest.Read(buf)
+		n, err := answer.BodyReader.Read(buf)
 		watch.heard()
 		if n > 0 {
 			if perr := c.pass(buf[:n]); perr != nil {
@@ -55,7 +55,7 @@
 type copier struct {
 	w       http.ResponseWriter
 	flusher *http.ResponseController
-	how     Copying
+	how     CopyOptions
 	out     []byte
 }
 
@@ -64,14 +64,14 @@
 	if relay == nil {
 		return c.write(b)
 	}
-	before := relay.Passed()
+	before := relay.Forwarded()
 	var broken error
 	c.out, broken = relay.Feed(c.out[:0], b)
 	if err := c.write(c.out); err != nil {
 		return err
 	}
-	if before == 0 && relay.Passed() > 0 && c.how.First != nil {
-		c.how.First()
+	if before == 0 && relay.Forwarded() > 0 && c.how.OnFirstEvent != nil {
+		c.how.OnFirstEvent()
 	}
 	return Error.Wrap(broken)
 }
@@ -81,7 +81,7 @@
 		return nil
 	}
 	if _, err := c.w.Write(b); err != nil {
-		return Error.Wrap(errors.Join(ErrCallerGone, err))
+		return Error.Wrap(errors.Join(ErrCallerDisconnected, err))
 	}
 	if c.how.Relay != nil {
 		_ = c.flusher.Flush() // a caller that has gone is met at the next write
@@ -96,7 +96,7 @@
 		return nil
 	case !errors.Is(err, io.EOF):
 		return Error.Wrap(err)
-	case c.how.Relay != nil && !c.how.Relay.Whole():
+	case c.how.Relay != nil && !c.how.Relay.Complete():
 		return ErrTruncated
 	}
 	return nil
@@ -109,7 +109,7 @@
 	after time.Duration
 }
 
-func newWatch(rest io.Closer, how Copying) *watch {
+func newWatch(rest io.Closer, how CopyOptions) *watch {
 	w := &watch{after: how.StallAfter}
 	if w.after == 0 {
 		return w
@@ -117,7 +117,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(w.after, func() {
-		if how.Stalled() {
+		if how.AbortStalled() {
 			rest.Close()
 			return
 		}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -56,19 +56,19 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Once marks a call that may not be repeated (5).
-	Once bool
+	// NonRepeatable marks a call that may not be repeated (5).
+	NonRepeatable bool
 	// Sendable is asked before the attempt is sent, once there is a connection; nil: it may be sent.
 	Sendable func() bool
 }
 
-// Answer is what came back. Either Body is the whole body, or Rest still has to
+// Response is what came back. Either Body is the whole body, or Rest still has to
 // be read and closed.
-type Answer struct {
-	Status int
-	Header http.Header
-	Body   []byte
-	Rest   io.ReadCloser
+type Response struct {
+	Status     int
+	Header     http.Header
+	Body       []byte
+	BodyReader io.ReadCloser
 	// Stream tells that Rest is a stream of events.
 	Stream bool
 	// Version is the version of the weights, "" when the backend does not say.
@@ -134,8 +134,8 @@
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// PassHeaders copies the headers that are for the other end.
-func PassHeaders(to, from http.Header) {
+// CopyEndToEndHeaders copies the headers that are for the other end.
+func CopyEndToEndHeaders(to, from http.Header) {
 	named := strings.Split(strings.Join(from.Values("Connection"), ","), ",")
 	for k, v := range from {
 		to[k] = v
@@ -180,7 +180,7 @@
 
 // Send sends the attempt and waits for the answer, or its beginning if it is a
 // stream or large. The context bounds the reading of Rest too.
-func (s *Sender) Send(ctx context.Context, a *Attempt) (*Answer, *Failure) {
+func (s *Sender) Send(ctx context.Context, a *Attempt) (*Response, *Failure) {
 	var connected atomic.Bool
 	if a.Sendable != nil {
 		ctx = context.WithValue(ctx, sendableKey{}, a.Sendable)
@@ -190,11 +190,11 @@
 	if err != nil {
 		return nil, &Failure{Outcome: reason.NotRun, Reason: reason.BadRequest, Cause: Error.Wrap(err)}
 	}
-	PassHeaders(req.Header, a.Header)
+	CopyEndToEndHeaders(req.Header, a.Header)
 	bodyOf(req, a)
 	req.Header.Set(engine.HeaderID, a.ID)
 	transport := s.kept
-	if a.Once {
+	if a.NonRepeatable {
 		transport = s.fresh // (5)
 	}
 	resp, err := transport.RoundTrip(req)
@@ -217,7 +217,7 @@
 	return &Failure{Outcome: reason.Unknown, Reason: reason.BackendBroke, Cause: Error.Wrap(err)}
 }
 
-func (s *Sender) receive(a *Attempt, resp *http.Response) (*Answer, *Failure) {
+func (s *Sender) receive(a *Attempt, resp *http.Response) (*Response, *Failure) {
 	if id := resp.Header.Get(engine.HeaderID); id != "" && id != a.ID { // (4)
 		resp.Body.Close()
 		return nil, &Failure{Outcome: reason.Unknown, Reason: reason.BackendBroke, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the answer is of attempt %q", id)}
@@ -226,19 +226,19 @@
 		resp.Body.Close()
 		return nil, &Failure{Outcome: reason.NotRun, Reason: reason.BackendRefused, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the backend server answered %d, not run", resp.StatusCode)}
 	}
-	answer := &Answer{Status: resp.StatusCode, Header: http.Header{}, Version: resp.Header.Get(engine.HeaderVersion)}
-	PassHeaders(answer.Header, resp.Header)
+	answer := &Response{Status: resp.StatusCode, Header: http.Header{}, Version: resp.Header.Get(engine.HeaderVersion)}
+	CopyEndToEndHeaders(answer.Header, resp.Header)
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		answer.Rest, answer.Stream = resp.Body, true
+		answer.BodyReader, answer.Stream = resp.Body, true
 		return answer, nil
 	}
 	return s.buffer(resp, answer)
 }
 
 // buffer reads an answer whole if it is small (3).
-func (s *Sender) buffer(resp *http.Response, answer *Answer) (*Answer, *Failure) {
+func (s *Sender) buffer(resp *http.Response, answer *Response) (*Response, *Failure) {
 	if resp.ContentLength > bufferLimit {
-		answer.Rest = resp.Body
+		answer.BodyReader = resp.Body
 		return answer, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bufferLimit+1))
@@ -247,7 +247,7 @@
 		return nil, classify(err, true)
 	}
 	if len(body) > bufferLimit {
-		answer.Rest = joined{io.MultiReader(bytes.NewReader(body), resp.Body), resp.Body}
+		answer.BodyReader = joined{io.MultiReader(bytes.NewReader(body), resp.Body), resp.Body}
 		return answer, nil
 	}
 	resp.Body.Close()
--- a/pushback/pushback.go
+++ b/pushback/pushback.go
@@ -110,7 +110,7 @@
 		return
 	}
 	r.opts.Throttle.RecordReport(server, report)
-	hasPushback := report.Rest > 0 || report.Draining || report.RestErr != nil || report.DrainingErr != nil
+	hasPushback := report.Backoff > 0 || report.Draining || report.BackoffErr != nil || report.DrainingErr != nil
 	if !hasPushback && !r.nonEmpty.Load() {
 		return
 	}
@@ -133,8 +133,8 @@
 	}
 	r.logMalformed(rec, server, report)
 	switch {
-	case report.Rest > 0:
-		r.recordBackoff(rec, server, request, now, report.Rest)
+	case report.Backoff > 0:
+		r.recordBackoff(rec, server, request, now, report.Backoff)
 	case rec.inBackoff && now >= rec.backoffUntil:
 		rec.inBackoff = false
 		event.ServerRested.Log(r.opts.Log, zap.String("server", server), zap.Duration("rested", rec.backoffUntil-rec.backoffSince), zap.Duration("late", now-rec.backoffUntil))
@@ -170,7 +170,7 @@
 }
 
 func (r *Registry) logMalformed(rec *record, server string, report dialect.Report) {
-	for _, err := range []error{report.RestErr, report.DrainingErr} {
+	for _, err := range []error{report.BackoffErr, report.DrainingErr} {
 		if err == nil || rec.malformedLogged {
 			continue
 		}
--- a/pushback/pushback_test.go
+++ b/pushback/pushback_test.go
@@ -39,7 +39,7 @@
 	for i := 0; i < len(headers); i += 2 {
 		h.Add(headers[i], headers[i+1])
 	}
-	w.Observe(server, "r1", dialect.Own.ReadReport(status, h, time.Now()))
+	w.Observe(server, "r1", dialect.Native.ReadReport(status, h, time.Now()))
 }
 
 func (w *fixture) reject(server, after string) {
@@ -134,7 +134,7 @@
 	since, draining := w.Draining("incarnation")
 	g.Expect(draining).To(BeTrue())
 	g.Expect(since).To(Equal(time.Second))
-	w.now += dialect.Own.DrainTTL
+	w.now += dialect.Native.DrainTTL
 	_, draining = w.Draining("incarnation")
 	g.Expect(draining).To(BeTrue())
 	_, draining = w.Draining("name")
@@ -177,7 +177,7 @@
 	w := newFixture(1)
 	h := http.Header{"Content-Type": {"text/event-stream"}}
 	NewWithT(t).Expect(testing.AllocsPerRun(100, func() {
-		w.Observe("s", "r", dialect.Own.ReadReport(http.StatusOK, h, time.Time{}))
+		w.Observe("s", "r", dialect.Native.ReadReport(http.StatusOK, h, time.Time{}))
 		w.Blocked("s", 0)
 		w.Sendable("s")
 	})).To(BeZero())
@@ -188,6 +188,6 @@
 	h := http.Header{"Content-Type": {"text/event-stream"}}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.Observe("s", "r", dialect.Own.ReadReport(http.StatusOK, h, time.Time{}))
+		w.Observe("s", "r", dialect.Native.ReadReport(http.StatusOK, h, time.Time{}))
 	}
 }
--- a/pushback/sim_test.go
+++ b/pushback/sim_test.go
@@ -158,7 +158,7 @@
 		if s.now >= shed.from && s.now < shed.to && s.random.Float64() < shed.share {
 			v.backoffs[b.id] = append(v.backoffs[b.id], shedding{from: s.now, to: s.now + shed.backoff})
 			s.after(networkDelay, func() {
-				b.Observe(v.name, "r", dialect.Report{Rest: shed.backoff})
+				b.Observe(v.name, "r", dialect.Report{Backoff: shed.backoff})
 				s.send(b, rank, left-1)
 			})
 			return
@@ -248,7 +248,7 @@
 		start := s.now
 		const backoff = 3 * time.Second
 		for _, b := range s.boxes {
-			b.Observe("s0", "r", dialect.Report{Rest: backoff})
+			b.Observe("s0", "r", dialect.Report{Backoff: backoff})
 		}
 		perSecond := 10 * float64(boxes)
 		s.offer(perSecond, start+20*time.Second)
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -103,10 +103,10 @@
 // speak has an answer say what the server says of itself.
 func (f Faults) speak(w http.ResponseWriter) {
 	if f.Limit != "" {
-		w.Header().Set(dialect.Own.Limit, f.Limit)
+		w.Header().Set(dialect.Native.Limit, f.Limit)
 	}
 	if f.Drains {
-		w.Header().Set(dialect.Own.Draining, "1")
+		w.Header().Set(dialect.Native.Draining, "1")
 	}
 	if f.Rest != "" {
 		w.Header().Set("Retry-After", f.Rest)
--- a/state/evacuation.go
+++ b/state/evacuation.go
@@ -50,5 +50,5 @@
 	if a == nil || s.Fleet == nil || s.Fleet.Pools[a.Service] == nil {
 		return 0
 	}
-	return dialect.LimitOf(s.Fleet.Pools[a.Service].WarmUpRate)
+	return dialect.NewLimit(s.Fleet.Pools[a.Service].WarmUpRate)
 }
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -63,14 +63,14 @@
 	return r.position, !r.noIDs && r.last != nil && !r.done
 }
 
-// Passed returns how many events were passed on.
-func (r *Relay) Passed() int { return r.passed }
+// Forwarded returns how many events were passed on.
+func (r *Relay) Forwarded() int { return r.passed }
 
 // Done reports whether the last event was passed on.
 func (r *Relay) Done() bool { return r.done }
 
-// Whole reports whether a body that ended here ended with the whole stream.
-func (r *Relay) Whole() bool {
+// Complete reports whether a body that ended here ended with the whole stream.
+func (r *Relay) Complete() bool {
 	if r.last == nil {
 		return len(bytes.TrimSpace(r.partial)) == 0
 	}
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -34,7 +34,7 @@
 		var got []byte
 		for !r.Done() {
 			from := 1
-			if at, ok := r.Position(); ok && r.Passed() > 0 {
+			if at, ok := r.Position(); ok && r.Forwarded() > 0 {
 				from = rapid.IntRange(1, int(at)+1).Draw(t, "from")
 			}
 			var rest string
@@ -93,7 +93,7 @@
 		}
 		g.Expect(err != nil).To(Equal(c.fails), name)
 		g.Expect(string(got)).To(Equal(c.want), name)
-		g.Expect(r.Whole()).To(Equal(c.whole), name)
+		g.Expect(r.Complete()).To(Equal(c.whole), name)
 		_, again := r.Position()
 		g.Expect(again).To(Equal(c.again), name)
 	}
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -96,7 +96,7 @@
 // from the server itself.
 func (t *Throttle) RecordReport(server string, r dialect.Report) {
 	reported := r.HasLimit || r.LimitErr != nil
-	if t == nil || !reported && (!r.Own || !t.hasLimit(server)) {
+	if t == nil || !reported && (!r.FromServer || !t.hasLimit(server)) {
 		return
 	}
 	now := time.Now()
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -36,8 +36,8 @@
 
 // response returns a report with the given limits; own marks it as certainly the server's own.
 func response(own bool, limits ...string) dialect.Report {
-	r := dialect.Own.ReadReport(http.StatusOK, http.Header{dialect.Own.Limit: limits}, time.Now())
-	r.Own = own
+	r := dialect.Native.ReadReport(http.StatusOK, http.Header{dialect.Native.Limit: limits}, time.Now())
+	r.FromServer = own
 	return r
 }
 
@@ -48,7 +48,7 @@
 	limiter := rate.NewLimiter(rate.Options{
 		Now: clock.New().Now, Window: 4 * time.Second, Boxes: func() int { return 1 },
 		Lease: func(_ context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
-			limitOf := func(a rate.LimitRequest) (rate.Limit, bool) { return LimitOf(dialect.LimitOf(a.PerSecond)), true }
+			limitOf := func(a rate.LimitRequest) (rate.Limit, bool) { return LimitOf(dialect.NewLimit(a.PerSecond)), true }
 			return lessor.Lease("b", epoch, rate.Leadership{IsLeader: true, Term: 1, Boxes: 1}, limitOf, asks), nil
 		},
 	})
