--- a/route/backend.go
+++ b/route/backend.go
@@ -6,142 +6,152 @@
 	"time"
 )
 
-// Backend is one backend server as this box sees it. Its counters live on from
-// table to table.
+// Backend is this box's view of one backend server. Its counters are kept when
+// a new table is built.
 type Backend struct {
 	Name        string
 	Address     string
 	Hall        string
 	Concurrency int
-	// ResumesStreams tells that it goes on with streams that others began.
+	// ResumesStreams reports whether the server continues streams that another
+	// server started.
 	ResumesStreams bool
 
 	hash         uint64 // of the name
 	inFlight     atomic.Int64
-	reported     atomic.Int64 // work of others, from the last report
+	reportedWork atomic.Int64 // work for other boxes, from the last report
 	ejectedUntil atomic.Int64 // unix nanoseconds
-	leaving      atomic.Bool
+	draining     atomic.Bool
 
-	mu     sync.Mutex
-	limit  float64
-	shrunk time.Time
-	health health
+	mu           sync.Mutex
+	limit        float64
+	lastDecrease time.Time
+	health       health
 }
 
-// Begin counts a request in.
+// Begin adds a request to those in flight.
 func (b *Backend) Begin() { b.inFlight.Add(1) }
 
-// End counts a request out.
+// End removes a request from those in flight.
 func (b *Backend) End() { b.inFlight.Add(-1) }
 
-// InFlight returns this box's own requests in flight.
+// InFlight returns the number of this box's requests in flight.
 func (b *Backend) InFlight() int64 { return b.inFlight.Load() }
 
 const (
-	// shrinkBy and shrinkEvery are how a limit falls (6).
-	shrinkBy    = 2.0 / 3
-	shrinkEvery = time.Second
-	// mostOver is how far above a backend's size its limit may grow.
-	mostOver = 2
+	// limitDecreaseFactor and limitDecreaseInterval control how a limit
+	// decreases (6).
+	limitDecreaseFactor   = 2.0 / 3
+	limitDecreaseInterval = time.Second
+	// maxLimitFactor is the maximum limit as a multiple of the backend's
+	// concurrency.
+	maxLimitFactor = 2
 )
 
-// HasCapacity reports whether the box's limit at the backend is not reached (6).
+// HasCapacity reports whether this box has fewer requests in flight at the
+// backend than its limit there (6).
 func (b *Backend) HasCapacity() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return float64(b.inFlight.Load()) < b.limit
 }
 
-// Limit returns how many requests the box keeps in flight at most (6).
+// Limit returns the maximum number of requests that this box keeps in flight at
+// the backend (6).
 func (b *Backend) Limit() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limit
 }
 
-// RecordInTime lets the limit grow (6).
+// RecordInTime records an answer that came in time and may raise the limit (6).
 func (b *Backend) RecordInTime() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if float64(b.inFlight.Load()) >= b.limit-1 {
-		b.limit = min(b.limit+1/b.limit, float64(b.Concurrency*mostOver))
+		b.limit = min(b.limit+1/b.limit, float64(b.Concurrency*maxLimitFactor))
 	}
 }
 
-// RecordLate makes the limit fall (6).
+// RecordLate records an answer that was late, refused or broken and may lower
+// the limit (6).
 func (b *Backend) RecordLate(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.shrunk) < shrinkEvery {
+	if now.Sub(b.lastDecrease) < limitDecreaseInterval {
 		return
 	}
-	b.shrunk = now
-	b.limit = max(1, b.limit*shrinkBy)
+	b.lastDecrease = now
+	b.limit = max(1, b.limit*limitDecreaseFactor)
 }
 
-// RecordReport takes over what the backend says it runs and queues (4).
-func (b *Backend) RecordReport(work int) { b.reported.Store(max(0, int64(work)-b.inFlight.Load())) }
+// RecordReport records how many requests the backend reports as running or
+// queued (4).
+func (b *Backend) RecordReport(work int) { b.reportedWork.Store(max(0, int64(work)-b.inFlight.Load())) }
 
-// SetDraining takes over the backend's own or the platform's word.
-func (b *Backend) SetDraining(v bool) { b.leaving.Store(v) }
+// SetDraining records whether the backend or the platform reports it as
+// draining.
+func (b *Backend) SetDraining(v bool) { b.draining.Store(v) }
 
-// Draining reports whether the backend leaves.
-func (b *Backend) Draining() bool { return b.leaving.Load() }
+// Draining reports whether the backend is draining.
+func (b *Backend) Draining() bool { return b.draining.Load() }
 
-// load is the work for the backend's size (4).
+// load returns the requests at the backend divided by its concurrency (4).
 func (b *Backend) load() float64 {
-	return float64(b.inFlight.Load()+b.reported.Load()) / float64(b.Concurrency)
+	return float64(b.inFlight.Load()+b.reportedWork.Load()) / float64(b.Concurrency)
 }
 
 const (
-	// ejectAfter is how many failures in a row take a backend out (2).
-	ejectAfter = 3
-	// ejectShare is the share of failures, lately, that takes a backend out.
-	ejectShare = 0.3
-	// weightOfNew is the weight of the newest answer in that share.
-	weightOfNew = 0.1
-	// ejectFor is how long it stays out the first time; it doubles from time to
-	// time up to ejectMost.
-	ejectFor  = 500 * time.Millisecond
-	ejectMost = 30 * time.Second
-	// wellShare is the share of failures below which earlier ejections are
-	// forgotten.
-	wellShare = 0.02
+	// maxConsecutiveFailures is the number of consecutive failures that ejects a
+	// backend (2).
+	maxConsecutiveFailures = 3
+	// maxFailureShare is the recent share of failures above which a backend is
+	// ejected.
+	maxFailureShare = 0.3
+	// failureSmoothing is the weight of the newest answer in that share.
+	failureSmoothing = 0.1
+	// firstEjection is the duration of the first ejection. It doubles with each
+	// further one, up to maxEjection.
+	firstEjection = 500 * time.Millisecond
+	maxEjection   = 30 * time.Second
+	// healthyFailureShare is the share of failures below which earlier
+	// ejections are forgotten.
+	healthyFailureShare = 0.02
 )
 
-// health is how a backend answered lately.
+// health describes a backend's recent answers.
 type health struct {
-	row       int     // failures in a row
-	share     float64 // of failures
-	ejections int
+	consecutiveFailures int
+	failureShare        float64
+	ejections           int
 }
 
-// RecordFailure notes a failure, and reports whether it took the backend out (2).
+// RecordFailure records a failure and reports whether it ejected the backend (2).
 func (b *Backend) RecordFailure(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := &b.health
-	h.row++
-	h.share += weightOfNew * (1 - h.share)
-	if h.row < ejectAfter && h.share <= ejectShare || b.ejected(now) {
+	h.consecutiveFailures++
+	h.failureShare += failureSmoothing * (1 - h.failureShare)
+	if h.consecutiveFailures < maxConsecutiveFailures && h.failureShare <= maxFailureShare || b.ejected(now) {
 		return false
 	}
-	out := min(ejectFor<<min(h.ejections, 8), ejectMost)
-	b.ejectedUntil.Store(now.Add(out).UnixNano())
-	// After its return one failure is enough to take it out again.
-	h.row, h.share = ejectAfter-1, ejectShare/2
+	duration := min(firstEjection<<min(h.ejections, 8), maxEjection)
+	b.ejectedUntil.Store(now.Add(duration).UnixNano())
+	// After the ejection a single failure ejects the backend again.
+	h.consecutiveFailures, h.failureShare = maxConsecutiveFailures-1, maxFailureShare/2
 	h.ejections++
 	b.limit = 1
 	return true
 }
 
-// RecordSuccess notes an answer.
+// RecordSuccess records a successful answer.
 func (b *Backend) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := &b.health
-	h.row = 0
-	if h.share -= weightOfNew * h.share; h.share < wellShare {
+	h.consecutiveFailures = 0
+	if h.failureShare -= failureSmoothing * h.failureShare; h.failureShare < healthyFailureShare {
 		h.ejections = 0
 	}
 }
--- a/route/choose.go
+++ b/route/choose.go
@@ -9,115 +9,121 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// hallBonus is how much more load, as a share of its size, a backend in the
-// own hall may have and still be preferred (5).
-const hallBonus = 0.1
+// localHallBonus is the additional load, as a share of its concurrency, that a
+// backend in this box's own hall may have and still be preferred (5).
+const localHallBonus = 0.1
 
-// Criteria is what a request asks of the choice besides its target.
+// Criteria restricts the choice of a backend for a request.
 type Criteria struct {
-	// Tried are backends to pass over.
+	// Tried lists the backends to skip.
 	Tried []*Backend
-	// Rank is the urgency of the request, 0 the highest.
+	// Rank is the urgency of the request; 0 is the highest.
 	Rank int
-	// Session is the hash of the session that the request belongs to, 0 for none.
+	// Session is the hash of the session that the request belongs to; 0 for none.
 	Session uint64
 }
 
-// Choose picks a backend. Without one it reports whether some could be taken but
-// for their limits.
-func (d *Directory) Choose(t *Target, now time.Time, w Criteria) (b *Backend, busy bool) {
-	b, busy = d.choose(t, now, w)
-	if b == nil || w.Session == 0 || t.AffinitySlack == 0 {
+// Choose picks a backend. If there is none, busy reports whether a backend was
+// excluded only because of its limit.
+func (d *Directory) Choose(t *Target, now time.Time, c Criteria) (b *Backend, busy bool) {
+	b, busy = d.choose(t, now, c)
+	if b == nil || c.Session == 0 || t.AffinitySlack == 0 {
 		return b, busy
 	}
-	home := d.homeOf(t.Backends, now, w)
+	home := d.sessionBackend(t.Backends, now, c)
 	if home != nil && home.HasCapacity() && home.load() <= b.load()+t.AffinitySlack { // (7)
 		return home, false
 	}
 	return b, false
 }
 
-func (d *Directory) choose(t *Target, now time.Time, w Criteria) (b *Backend, busy bool) {
-	if !mostEjected(t.Backends, now) {
-		b, full := d.draw(t.Backends, now, w, false)
-		if b != nil || full {
+func (d *Directory) choose(t *Target, now time.Time, c Criteria) (b *Backend, busy bool) {
+	if !majorityEjected(t.Backends, now) {
+		b, atLimit := d.pickOfTwo(t.Backends, now, c, false)
+		if b != nil || atLimit {
 			return b, b == nil
 		}
 	}
-	b, full := d.draw(t.Backends, now, w, true) // better than none (2)
-	return b, b == nil && full
+	b, atLimit := d.pickOfTwo(t.Backends, now, c, true) // an ejected backend is better than none (2)
+	return b, b == nil && atLimit
 }
 
-// homeOf returns the session's backend: the one of those that work with the
-// highest hash of both, so that all boxes find the same one and few sessions move
-// when backends come and go (7).
-func (d *Directory) homeOf(list []*Backend, now time.Time, w Criteria) *Backend {
-	var home *Backend
+// sessionBackend returns the preferred backend of a session by rendezvous
+// hashing: the available backend with the highest hash of session and name. All
+// boxes find the same one, and few sessions move when backends are added or
+// removed (7).
+func (d *Directory) sessionBackend(list []*Backend, now time.Time, c Criteria) *Backend {
+	var preferred *Backend
 	var highest uint64
 	for _, b := range list {
-		if d.drains(b) || b.ejected(now) || contains(w.Tried, b) || d.blocked(b, w.Rank) {
+		if d.isDraining(b) || b.ejected(now) || contains(c.Tried, b) || d.blocked(b, c.Rank) {
 			continue
 		}
 		var both [16]byte
-		binary.LittleEndian.PutUint64(both[:8], w.Session)
+		binary.LittleEndian.PutUint64(both[:8], c.Session)
 		binary.LittleEndian.PutUint64(both[8:], b.hash)
-		if h := xxhash.Sum64(both[:]); home == nil || h > highest {
-			home, highest = b, h
+		if h := xxhash.Sum64(both[:]); preferred == nil || h > highest {
+			preferred, highest = b, h
 		}
 	}
-	return home
+	return preferred
 }
 
-// mostEjected is the end of rule 2.
-func mostEjected(list []*Backend, now time.Time) bool {
-	out := 0
+// majorityEjected reports whether more than half of the backends are ejected (2).
+func majorityEjected(list []*Backend, now time.Time) bool {
+	ejected := 0
 	for _, b := range list {
 		if b.ejected(now) {
-			out++
+			ejected++
 		}
 	}
-	return 2*out > len(list)
+	return 2*ejected > len(list)
 }
 
-func (d *Directory) draw(list []*Backend, now time.Time, w Criteria, ejectedToo bool) (b *Backend, full bool) {
+// pickOfTwo draws two eligible backends at random and returns the less loaded
+// one (3). If fewer than two are eligible, atLimit reports whether a backend was
+// excluded only by its limit.
+func (d *Directory) pickOfTwo(list []*Backend, now time.Time, c Criteria, ejectedToo bool) (b *Backend, atLimit bool) {
 	if len(list) == 0 {
 		return nil, false
 	}
-	may := func(b *Backend) bool {
-		if d.drains(b) || contains(w.Tried, b) || !ejectedToo && b.ejected(now) || d.blocked(b, w.Rank) {
+	eligible := func(b *Backend) bool {
+		if d.isDraining(b) || contains(c.Tried, b) || !ejectedToo && b.ejected(now) || d.blocked(b, c.Rank) {
 			return false
 		}
 		room := b.HasCapacity()
-		full = full || !room
+		atLimit = atLimit || !room
 		return room
 	}
-	first := firstFrom(list, rand.IntN(len(list)), nil, may)
-	second := firstFrom(list, rand.IntN(len(list)), first, may)
+	first := firstEligible(list, rand.IntN(len(list)), nil, eligible)
+	second := firstEligible(list, rand.IntN(len(list)), first, eligible)
 	if first == nil || second == nil {
-		return first, full
+		return first, atLimit
 	}
-	return d.less(first, second), false // (3)
+	return d.lessLoaded(first, second), false // (3)
 }
 
-// firstFrom returns the first backend that may be taken, beginning at start and
-// passing over one.
-func firstFrom(list []*Backend, start int, not *Backend, may func(*Backend) bool) *Backend {
+// firstEligible returns the first eligible backend other than except, searching
+// from index start and wrapping around.
+func firstEligible(list []*Backend, start int, except *Backend, eligible func(*Backend) bool) *Backend {
 	for i := range list {
 		b := list[(start+i)%len(list)]
-		if b != not && may(b) {
+		if b != except && eligible(b) {
 			return b
 		}
 	}
 	return nil
 }
 
-func (d *Directory) less(a, b *Backend) *Backend {
-	loadA, loadB := a.load()+d.limited(a), b.load()+d.limited(b)
+// lessLoaded returns the backend with the lower load, adjusted by the
+// preference for the own hall (5) and the penalty for limits (8).
+func (d *Directory) lessLoaded(a, b *Backend) *Backend {
+	loadA, loadB := a.load()+d.limitLoad(a), b.load()+d.limitLoad(b)
 	if a.Hall == d.hall && b.Hall != d.hall { // (5)
-		loadA -= hallBonus
+		loadA -= localHallBonus
 	}
 	if b.Hall == d.hall && a.Hall != d.hall {
-		loadB -= hallBonus
+		loadB -= localHallBonus
 	}
 	if loadB < loadA {
 		return b
@@ -130,27 +136,29 @@
 	return blocked
 }
 
-// drains reports whether a backend leaves, by whichever word (1).
-func (d *Directory) drains(b *Backend) bool {
-	if b.leaving.Load() {
+// isDraining reports whether a backend is draining, by any source (1).
+func (d *Directory) isDraining(b *Backend) bool {
+	if b.draining.Load() {
 		return true
 	}
 	_, drains := d.pushback.Draining(b.Name)
 	return drains
 }
 
-// limitedLoad is how much more load, as a share of its size, a backend with a limit counts as having (8).
-const limitedLoad = 0.5
+// limitPenalty is the load, as a share of its concurrency, that is added for a
+// backend that reports a limit (8).
+const limitPenalty = 0.5
 
-// limited is the load that a backend counts as having for its limit. One that is due for a try is taken.
-func (d *Directory) limited(b *Backend) float64 {
+// limitLoad returns the load that is added for a backend's reported limit. A
+// backend that is due for a probe is preferred over all others.
+func (d *Directory) limitLoad(b *Backend) float64 {
 	switch {
 	case d.pushback.Limit(b.Name) == 0:
 		return 0
 	case d.pushback.DueForProbe(b.Name):
 		return math.Inf(-1)
 	}
-	return limitedLoad
+	return limitPenalty
 }
 
 func contains(list []*Backend, b *Backend) bool {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,8 +13,8 @@
 	"leverdrum/wire"
 )
 
-// newDirectory returns a directory of three servers, one of them in another
-// hall, that all hold one model.
+// newDirectory returns a directory of three servers that all serve one model.
+// One of the servers is in another hall.
 func newDirectory(t *testing.T) (*route.Directory, *state.State, *route.Target) {
 	text := "[fleet]\nnumber = 1\n[hall a]\n[hall b]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\nconcurrency = 10\n"
 	for i, hall := range []string{"a", "a", "b"} {
@@ -32,8 +32,9 @@
 	return d, st, d.Table().Models["m"]
 }
 
-// chosen counts which servers are chosen in many draws, nothing being in flight.
-func chosen(d *route.Directory, target *route.Target) map[string]int {
+// countChoices returns how often each server is chosen in 300 choices without
+// requests in flight.
+func countChoices(d *route.Directory, target *route.Target) map[string]int {
 	count := map[string]int{}
 	for range 300 {
 		if b, _ := d.Choose(target, time.Now(), route.Criteria{}); b != nil {
@@ -43,9 +44,9 @@
 	return count
 }
 
-func TestOwnHallIsPreferred(t *testing.T) {
+func TestPrefersOwnHall(t *testing.T) {
 	d, _, target := newDirectory(t)
-	count := chosen(d, target)
+	count := countChoices(d, target)
 	g := NewWithT(t)
 	g.Expect(count["s2"]).To(BeZero(), "%v", count)
 	g.Expect(count["s0"]).To(BeNumerically(">", 50))
@@ -53,66 +54,66 @@
 		d.Backends()["s0"].Begin()
 		d.Backends()["s1"].Begin()
 	}
-	g.Expect(chosen(d, target)["s2"]).To(BeNumerically(">", 100), "preference yields to load (5)")
+	g.Expect(countChoices(d, target)["s2"]).To(BeNumerically(">", 100), "load overrides the preference (5)")
 }
 
-func TestLeavingByEachWord(t *testing.T) {
+func TestDrainingFromEachSource(t *testing.T) {
 	for name, leave := range map[string]func(d *route.Directory, st *state.State){
-		"the server's own": func(d *route.Directory, _ *state.State) { d.Backends()["s0"].SetDraining(true) },
-		"the platform's":   func(d *route.Directory, _ *state.State) { d.SetTerminatedServers(map[string]bool{"s0": true}) },
-		"the fleet file's": func(_ *route.Directory, st *state.State) { st.Fleet.Servers["s0"].Leaving = true },
-		"the agreed":       func(_ *route.Directory, st *state.State) { st.Servers.Get("s0").Leaving = true },
+		"by the server":           func(d *route.Directory, _ *state.State) { d.Backends()["s0"].SetDraining(true) },
+		"by the platform":         func(d *route.Directory, _ *state.State) { d.SetTerminatedServers(map[string]bool{"s0": true}) },
+		"by the fleet file":       func(_ *route.Directory, st *state.State) { st.Fleet.Servers["s0"].Leaving = true },
+		"by the replicated state": func(_ *route.Directory, st *state.State) { st.Servers.Get("s0").Leaving = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, st, _ := newDirectory(t)
 			leave(d, st)
 			d.Update(st)
-			NewWithT(t).Expect(chosen(d, d.Table().Models["m"])["s0"]).To(BeZero())
+			NewWithT(t).Expect(countChoices(d, d.Table().Models["m"])["s0"]).To(BeZero())
 		})
 	}
 }
 
-func TestEjectionEndsAndIsIgnoredWhenAllAreOut(t *testing.T) {
+func TestEjectionExpiresAndIsIgnoredWhenAllEjected(t *testing.T) {
 	g := NewWithT(t)
 	d, _, target := newDirectory(t)
 	now := time.Now()
 	bad := d.Backends()["s0"]
 	g.Expect(bad.RecordFailure(now)).To(BeFalse())
 	g.Expect(bad.RecordFailure(now)).To(BeFalse())
-	g.Expect(bad.RecordFailure(now)).To(BeTrue(), "the third failure in a row takes it out")
-	g.Expect(chosen(d, target)["s0"]).To(BeZero())
+	g.Expect(bad.RecordFailure(now)).To(BeTrue(), "the third consecutive failure ejects the backend")
+	g.Expect(countChoices(d, target)["s0"]).To(BeZero())
 	b, _ := d.Choose(target, now.Add(time.Second), route.Criteria{Tried: []*route.Backend{d.Backends()["s1"], d.Backends()["s2"]}})
-	g.Expect(b).To(Equal(bad), "its time is up")
+	g.Expect(b).To(Equal(bad), "the ejection has ended")
 	for _, name := range []string{"s1", "s2"} {
 		for range 3 {
 			d.Backends()[name].RecordFailure(now)
 		}
 	}
-	g.Expect(chosen(d, target)).NotTo(BeEmpty(), "all out is no reason to refuse (2)")
+	g.Expect(countChoices(d, target)).NotTo(BeEmpty(), "ejections are ignored if all backends are ejected (2)")
 }
 
-func TestHalfFailingIsEjected(t *testing.T) {
+func TestEjectsBackendFailingHalfOfRequests(t *testing.T) {
 	g := NewWithT(t)
 	d, _, target := newDirectory(t)
 	now := time.Now()
 	bad := d.Backends()["s0"]
 	answers := 0
-	for ; chosen(d, target)["s0"] > 0 && answers < 100; answers += 2 { // it never fails twice in a row
+	for ; countChoices(d, target)["s0"] > 0 && answers < 100; answers += 2 { // never two consecutive failures
 		bad.RecordSuccess()
 		bad.RecordFailure(now)
 	}
 	g.Expect(answers).To(BeNumerically("<", 30))
-	g.Expect(bad.Limit()).To(BeEquivalentTo(1), "it comes back with one request (2)")
-	g.Expect(bad.RecordFailure(now.Add(time.Second))).To(BeTrue(), "one failure takes it out again")
+	g.Expect(bad.Limit()).To(BeEquivalentTo(1), "after the ejection the limit is one request (2)")
+	g.Expect(bad.RecordFailure(now.Add(time.Second))).To(BeTrue(), "one failure ejects it again")
 	for range 100 {
 		bad.RecordSuccess()
 	}
-	g.Expect(bad.RecordFailure(now.Add(time.Minute))).To(BeFalse(), "it is well again")
-	for range 3 { // two of three are out
+	g.Expect(bad.RecordFailure(now.Add(time.Minute))).To(BeFalse(), "earlier ejections are forgotten")
+	for range 3 { // two of three are ejected
 		d.Backends()["s1"].RecordFailure(now)
 		bad.RecordFailure(now)
 	}
-	g.Expect(chosen(d, target)).To(HaveKey("s0"), "when most are out the fault is not theirs")
+	g.Expect(countChoices(d, target)).To(HaveKey("s0"), "ejections are ignored if most backends are ejected")
 }
 
 func TestLimitAdapts(t *testing.T) {
@@ -122,7 +123,7 @@
 	now := time.Now()
 	b.RecordLate(now)
 	b.RecordLate(now)
-	g.Expect(b.Limit()).To(BeNumerically("~", 20.0/3, 0.01), "it falls once a second at most (6)")
+	g.Expect(b.Limit()).To(BeNumerically("~", 20.0/3, 0.01), "the limit decreases at most once a second (6)")
 	for range 7 {
 		b.Begin()
 	}
@@ -134,7 +135,7 @@
 	g.Expect(b.HasCapacity()).To(BeTrue())
 }
 
-func TestAdapterNeedsItsModelBeside(t *testing.T) {
+func TestAdapterRequiresModelOnSameAccelerator(t *testing.T) {
 	g := NewWithT(t)
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\n[server s0]\naddress = 127.0.0.1:1\nhall = a\nkind = k\n" +
 		"[model m]\nversion = 1\nmemory = 1B\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1B\n"
@@ -149,9 +150,10 @@
 	g.Expect(d.Table().Models["x"].Backends).To(HaveLen(1))
 }
 
-// TestSessionsKeepTheirBackend is rule 7: two boxes find the same backend for a
-// session, it yields to load, and only the sessions of a backend that goes move.
-func TestSessionsKeepTheirBackend(t *testing.T) {
+// TestSessionAffinity checks rule 7: two boxes choose the same backend for a
+// session, load overrides the affinity, and only the sessions of a removed
+// backend move.
+func TestSessionAffinity(t *testing.T) {
 	g := NewWithT(t)
 	const sessions = 300
 	d, st, target := newDirectory(t)
@@ -179,12 +181,12 @@
 		}
 	}
 	d.Backends()["s1"].SetDraining(false)
-	for range 7 { // of 10 places, with a slack of half its size
+	for range 7 { // of 10 slots; the slack is half the concurrency
 		d.Backends()["s0"].Begin()
 	}
 	for s := 1; s <= sessions; s++ {
-		g.Expect(home(d, s)).NotTo(Equal("s0"), "it yields to load")
+		g.Expect(home(d, s)).NotTo(Equal("s0"), "load overrides the affinity")
 	}
 	b, _ := d.Choose(target, time.Now(), route.Criteria{Session: 1, Tried: []*route.Backend{d.Backends()[before[1]]}})
-	g.Expect(b.Name).NotTo(Equal(before[1]), "a retry goes elsewhere")
+	g.Expect(b.Name).NotTo(Equal(before[1]), "a retry goes to another backend")
 }
