--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,18 +1,20 @@
-// Package admit decides which requests start, wait, or are refused at once.
+// Package admit decides whether a request starts, waits or is refused
+// immediately.
 //
 // Rules:
 //
-//  1. A request starts when a backend server that it may go to has room and no
-//     waiting request that could use that room goes before it.
-//  2. Of those waiting for the same room the one of the highest class priority
-//     goes first; of equal ones the one whose caller has the fewest requests in
-//     flight here; of equal ones the one that has waited longest.
-//  3. A request is refused at once when it cannot be answered in time: when the
-//     work before it and its own, at the times seen lately, end behind its
-//     deadline, or the first event of its stream would come too late. While it
-//     waits the same holds of its own work.
-//  4. A caller may take at most half of the waiting room while others wait too.
-//  5. What is given up is answered at once. Nothing is held back.
+//  1. A request starts when a backend server that it may use has free capacity
+//     and no waiting request that could use that capacity has precedence.
+//  2. Among requests waiting for the same capacity, the one with the highest
+//     class priority starts first; among equal ones the one whose caller has the
+//     fewest requests in flight in this box; among equal ones the one that has
+//     waited longest.
+//  3. A request is refused immediately when it cannot be answered in time: when
+//     the work ahead of it and its own, estimated from recent times, end after
+//     its deadline, or the first event of its stream would be too late. While it
+//     waits, the same check applies to its own work.
+//  4. A caller may occupy at most half of the queue while other callers wait.
+//  5. A request that is given up is answered immediately. No answer is delayed.
 package admit
 
 import (
@@ -25,128 +27,130 @@
 	"leverdrum/route"
 )
 
-// waitingRoom bounds the requests that wait in one box.
-const waitingRoom = 1024
+// maxWaiting bounds the requests that wait in one box.
+const maxWaiting = 1024
 
-// weightOfNew is the share of a new answer's time in the mean of a target.
-const weightOfNew = 0.1
+// estimateSmoothing is the weight of a new answer's time in a target's mean.
+const estimateSmoothing = 0.1
 
-// Request is one request that wants to start.
+// Request is a request to be admitted.
 type Request struct {
 	Target *route.Target
 	Caller string
-	// Urgency goes before the priority of the class, 0 the highest.
+	// Urgency takes precedence over the priority of the class; 0 is the highest.
 	Urgency  int
 	Deadline time.Time
-	// FirstEventDeadline is when the first event of a stream is due; zero for none.
+	// FirstEventDeadline is when the first event of a stream is due; zero for
+	// none.
 	FirstEventDeadline time.Time
 	route.Criteria
 
-	since   time.Time
-	began   time.Time
-	started chan *route.Backend
+	queuedAt  time.Time
+	startedAt time.Time
+	assigned  chan *route.Backend
 }
 
-// StartedAt returns when the ticket's newest start was.
-func (t *Request) StartedAt() time.Time { return t.began }
+// StartedAt returns when the request was last assigned a backend.
+func (r *Request) StartedAt() time.Time { return r.startedAt }
 
 // Controller admits the requests of one box.
 type Controller struct {
 	directory *route.Directory
 
-	mu      sync.Mutex
-	waiting []*Request
-	callers map[string]int       // in flight
-	queued  map[string]int       // waiting, by caller
-	took    map[string]*estimate // by target
-	first   map[string]*estimate // time to a stream's first event, by target
+	mu              sync.Mutex
+	waiting         []*Request
+	inFlight        map[string]int       // by caller
+	waitingByCaller map[string]int       // number of waiting requests
+	answerTimes     map[string]*estimate // time to a whole answer, by target
+	firstEventTimes map[string]*estimate // time to a stream's first event, by target
 }
 
-// estimate is how long answers of a target took lately.
+// estimate is a smoothed mean and deviation of recent answer times.
 type estimate struct{ mean, deviation time.Duration }
 
-// likely is a time that most answers keep to.
-func (e *estimate) likely() time.Duration {
+// upperBound returns a time within which most answers come.
+func (e *estimate) upperBound() time.Duration {
 	if e == nil {
 		return 0
 	}
 	return e.mean + max(2*e.deviation, e.mean/10)
 }
 
-func (e *estimate) learn(took time.Duration) {
-	off := took - e.mean
-	e.mean += time.Duration(weightOfNew * float64(off))
-	e.deviation += time.Duration(weightOfNew * float64(off.Abs()-e.deviation))
+func (e *estimate) add(took time.Duration) {
+	difference := took - e.mean
+	e.mean += time.Duration(estimateSmoothing * float64(difference))
+	e.deviation += time.Duration(estimateSmoothing * float64(difference.Abs()-e.deviation))
 }
 
-// NewController returns a gate before the backends of a directory.
+// NewController returns an admission controller for the backends of a directory.
 func NewController(d *route.Directory) *Controller {
-	return &Controller{directory: d, callers: map[string]int{}, queued: map[string]int{}, took: map[string]*estimate{}, first: map[string]*estimate{}}
+	return &Controller{directory: d, inFlight: map[string]int{}, waitingByCaller: map[string]int{}, answerTimes: map[string]*estimate{}, firstEventTimes: map[string]*estimate{}}
 }
 
-// Acquire waits until the ticket may start and returns its backend, counted in,
-// or the reason why it is refused.
-func (g *Controller) Acquire(ctx context.Context, t *Request) (*route.Backend, *reason.Reason) {
+// Acquire waits until the request may start and returns its backend, with the
+// request counted as in flight there, or the reason why it is refused.
+func (c *Controller) Acquire(ctx context.Context, r *Request) (*route.Backend, *reason.Reason) {
 	now := time.Now()
-	g.mu.Lock()
-	b, why := g.offer(now, t)
-	g.mu.Unlock()
+	c.mu.Lock()
+	b, why := c.admitOrQueue(now, r)
+	c.mu.Unlock()
 	if b != nil || why != nil {
 		return b, why
 	}
-	return g.wait(ctx, t)
+	return c.wait(ctx, r)
 }
 
-// offer starts the ticket, queues it, or refuses it.
-func (g *Controller) offer(now time.Time, t *Request) (*route.Backend, *reason.Reason) {
-	b, busy := g.directory.Choose(t.Target, now, t.Criteria)
-	if b != nil && !g.goesBefore(b, t) { // (1)
-		g.start(b, t)
+// admitOrQueue starts the request, queues it, or refuses it.
+func (c *Controller) admitOrQueue(now time.Time, r *Request) (*route.Backend, *reason.Reason) {
+	b, busy := c.directory.Choose(r.Target, now, r.Criteria)
+	if b != nil && !c.hasPriorWaiter(b, r) { // (1)
+		c.assign(b, r)
 		return b, nil
 	}
 	if b == nil && !busy {
 		return nil, reason.NoServer
 	}
-	if now.Add(g.expectedWait(t)).After(g.latest(t)) { // (3)
+	if now.Add(c.expectedWait(r)).After(c.latestStart(r)) { // (3)
 		return nil, reason.Overloaded
 	}
-	if len(g.waiting) >= waitingRoom {
+	if len(c.waiting) >= maxWaiting {
 		return nil, reason.Overloaded
 	}
-	if g.queued[t.Caller] >= waitingRoom/2 && len(g.queued) > 1 { // (4)
+	if c.waitingByCaller[r.Caller] >= maxWaiting/2 && len(c.waitingByCaller) > 1 { // (4)
 		return nil, reason.OverShare
 	}
-	t.since, t.started = now, make(chan *route.Backend, 1)
-	g.waiting = append(g.waiting, t)
-	g.queued[t.Caller]++
+	r.queuedAt, r.assigned = now, make(chan *route.Backend, 1)
+	c.waiting = append(c.waiting, r)
+	c.waitingByCaller[r.Caller]++
 	return nil, nil
 }
 
-// latest returns when the ticket must start at the latest (3).
-func (g *Controller) latest(t *Request) time.Time {
-	latest := t.Deadline.Add(-g.took[t.Target.Name].likely())
-	if t.FirstEventDeadline.IsZero() {
+// latestStart returns the latest time at which the request can start and still
+// be answered in time (3).
+func (c *Controller) latestStart(r *Request) time.Time {
+	latest := r.Deadline.Add(-c.answerTimes[r.Target.Name].upperBound())
+	if r.FirstEventDeadline.IsZero() {
 		return latest
 	}
-	if first := t.FirstEventDeadline.Add(-g.first[t.Target.Name].likely()); first.Before(latest) {
+	if first := r.FirstEventDeadline.Add(-c.firstEventTimes[r.Target.Name].upperBound()); first.Before(latest) {
 		return first
 	}
 	return latest
 }
 
-// goesBefore reports whether somebody waits who could use the backend's room
-// and goes before the ticket.
-func (g *Controller) goesBefore(b *route.Backend, t *Request) bool {
-	for _, w := range g.waiting {
-		if w.mayUse(b) && !g.less(t, w) {
+// hasPriorWaiter reports whether a waiting request could use the backend's
+// capacity and has precedence over r.
+func (c *Controller) hasPriorWaiter(b *route.Backend, r *Request) bool {
+	for _, w := range c.waiting {
+		if w.canUse(b) && !c.startsBefore(r, w) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Request) mayUse(b *route.Backend) bool {
-	for _, x := range t.Target.Backends {
+func (r *Request) canUse(b *route.Backend) bool {
+	for _, x := range r.Target.Backends {
 		if x == b {
 			return true
 		}
@@ -154,155 +158,158 @@
 	return false
 }
 
-// compareUrgency is below zero where a is the more urgent: by its workspace, then by its class.
+// compareUrgency orders requests by the urgency of their workspace, then by the
+// priority of their class. It is negative if a is more urgent.
 func compareUrgency(a, b *Request) int {
 	return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(b.Target.Class.Priority, a.Target.Class.Priority))
 }
 
-// less is rule 2: whether a goes before b.
-func (g *Controller) less(a, b *Request) bool {
+// startsBefore reports whether a has precedence over b (2).
+func (c *Controller) startsBefore(a, b *Request) bool {
 	if c := compareUrgency(a, b); c != 0 {
 		return c < 0
 	}
-	if ca, cb := g.callers[a.Caller], g.callers[b.Caller]; ca != cb {
+	if ca, cb := c.inFlight[a.Caller], c.inFlight[b.Caller]; ca != cb {
 		return ca < cb
 	}
-	return a.since.Before(b.since)
+	return a.queuedAt.Before(b.queuedAt)
 }
 
-// expectedWait is the work of those who go before, spread over the places that
-// the ticket could get.
-func (g *Controller) expectedWait(t *Request) time.Duration {
-	places := 0.0
-	for _, b := range t.Target.Backends {
-		places += b.Limit()
+// expectedWait estimates the wait as the work of the requests with precedence,
+// divided by the number of slots that r could use.
+func (c *Controller) expectedWait(r *Request) time.Duration {
+	slots := 0.0
+	for _, b := range r.Target.Backends {
+		slots += b.Limit()
 	}
-	if places == 0 {
+	if slots == 0 {
 		return 0
 	}
 	var work time.Duration
-	for _, w := range g.waiting {
-		if compareUrgency(w, t) <= 0 && shares(w, t) {
-			work += g.took[w.Target.Name].likely()
+	for _, w := range c.waiting {
+		if compareUrgency(w, r) <= 0 && sharesBackend(w, r) {
+			work += c.answerTimes[w.Target.Name].upperBound()
 		}
 	}
-	return time.Duration(float64(work) / places)
+	return time.Duration(float64(work) / slots)
 }
 
-func shares(a, b *Request) bool {
+func sharesBackend(a, b *Request) bool {
 	for _, x := range a.Target.Backends {
-		if b.mayUse(x) {
+		if b.canUse(x) {
 			return true
 		}
 	}
 	return false
 }
 
-func (g *Controller) start(b *route.Backend, t *Request) {
+func (c *Controller) assign(b *route.Backend, r *Request) {
 	b.Begin()
-	t.began = time.Now()
-	g.callers[t.Caller]++
+	r.startedAt = time.Now()
+	c.inFlight[r.Caller]++
 }
 
-// wait waits for a place, at most until the ticket's own work would not fit
-// before its deadline any more (3).
-func (g *Controller) wait(ctx context.Context, t *Request) (*route.Backend, *reason.Reason) {
-	g.mu.Lock()
-	latest := g.latest(t)
-	g.mu.Unlock()
+// wait waits for a slot, at most until the request's own work would no longer
+// end before its deadline (3).
+func (c *Controller) wait(ctx context.Context, r *Request) (*route.Backend, *reason.Reason) {
+	c.mu.Lock()
+	latest := c.latestStart(r)
+	c.mu.Unlock()
 	timer := time.NewTimer(time.Until(latest))
 	defer timer.Stop()
 	select {
-	case b := <-t.started:
+	case b := <-r.assigned:
 		return b, nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	select {
-	case b := <-t.started: // it started just now
+	case b := <-r.assigned: // assigned while the wait ended
 		return b, nil
 	default:
 	}
-	g.remove(t)
+	c.remove(r)
 	return nil, reason.Overloaded
 }
 
-func (g *Controller) remove(t *Request) {
-	for i, w := range g.waiting {
-		if w == t {
-			g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
+func (c *Controller) remove(r *Request) {
+	for i, w := range c.waiting {
+		if w == r {
+			c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
 			break
 		}
 	}
-	if g.queued[t.Caller]--; g.queued[t.Caller] <= 0 {
-		delete(g.queued, t.Caller)
+	if c.waitingByCaller[r.Caller]--; c.waitingByCaller[r.Caller] <= 0 {
+		delete(c.waitingByCaller, r.Caller)
 	}
 }
 
-// Release counts a request out, and starts those who waited for its room.
-// Answered is the time of a whole answer, 0 when there was none.
-func (g *Controller) Release(b *route.Backend, t *Request, answered time.Duration) {
+// Release ends a request and starts waiting requests that can use its capacity.
+// answered is the time to a whole answer; 0 if there was none.
+func (c *Controller) Release(b *route.Backend, r *Request, answered time.Duration) {
 	b.End()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.callers[t.Caller]--; g.callers[t.Caller] <= 0 {
-		delete(g.callers, t.Caller)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inFlight[r.Caller]--; c.inFlight[r.Caller] <= 0 {
+		delete(c.inFlight, r.Caller)
 	}
 	if answered > 0 {
-		learn(g.took, t.Target.Name, answered)
+		recordTime(c.answerTimes, r.Target.Name, answered)
 	}
-	g.startWaiting(time.Now())
+	c.dispatch(time.Now())
 }
 
-// RecordFirstEvent notes how long the first event of a stream took.
-func (g *Controller) RecordFirstEvent(t *Request, took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	learn(g.first, t.Target.Name, took)
+// RecordFirstEvent records the time to the first event of a stream.
+func (c *Controller) RecordFirstEvent(r *Request, took time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	recordTime(c.firstEventTimes, r.Target.Name, took)
 }
 
-func learn(all map[string]*estimate, target string, took time.Duration) {
+func recordTime(all map[string]*estimate, target string, took time.Duration) {
 	if e := all[target]; e != nil {
-		e.learn(took)
+		e.add(took)
 		return
 	}
 	all[target] = &estimate{mean: took}
 }
 
-// startWaiting starts as many as there is room for, the first by rule 2 first.
-func (g *Controller) startWaiting(now time.Time) {
+// dispatch starts as many waiting requests as there is capacity for, in the order
+// of rule 2.
+func (c *Controller) dispatch(now time.Time) {
 	for {
 		var best *Request
-		var place *route.Backend
-		for _, w := range g.waiting {
-			if best != nil && !g.less(w, best) {
+		var backend *route.Backend
+		for _, w := range c.waiting {
+			if best != nil && !c.startsBefore(w, best) {
 				continue
 			}
-			if b, _ := g.directory.Choose(w.Target, now, w.Criteria); b != nil {
-				best, place = w, b
+			if b, _ := c.directory.Choose(w.Target, now, w.Criteria); b != nil {
+				best, backend = w, b
 			}
 		}
 		if best == nil {
 			return
 		}
-		g.remove(best)
-		g.start(place, best)
-		best.started <- place
+		c.remove(best)
+		c.assign(backend, best)
+		best.assigned <- backend
 	}
 }
 
-// Dispatch starts those who can start after the backends changed.
-func (g *Controller) Dispatch() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.startWaiting(time.Now())
+// Dispatch starts the waiting requests that can start after a change of the
+// backends.
+func (c *Controller) Dispatch() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dispatch(time.Now())
 }
 
-// Waiting returns how many requests wait.
-func (g *Controller) Waiting() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.waiting)
+// Waiting returns the number of waiting requests.
+func (c *Controller) Waiting() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.waiting)
 }
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -17,9 +17,9 @@
 	"leverdrum/wire"
 )
 
-// newGate returns a gate before one server with room for two, which holds a
-// model of a common and one of an urgent class.
-func newGate(t *testing.T) (*admit.Controller, *route.Table) {
+// newController returns a controller for one server with concurrency 2 that
+// serves a model of a common class and one of an urgent class.
+func newController(t *testing.T) (*admit.Controller, *route.Table) {
 	st, err := standin.Agreed(`
 [fleet]
 number = 1
@@ -56,37 +56,38 @@
 	return admit.NewController(d), d.Table()
 }
 
-// noting guards what the tests note of several requests.
-var noting sync.Mutex
+// resultsMu protects the results that concurrent requests record.
+var resultsMu sync.Mutex
 
-// run enters, reports whether it may start and after what wait, and works.
-func run(g *admit.Controller, target *route.Target, caller string, work time.Duration, entered func(why *reason.Reason, waited time.Duration)) {
-	began := time.Now()
-	t := &admit.Request{Target: target, Caller: caller, Deadline: began.Add(target.Class.Deadline)}
-	b, why := g.Acquire(context.Background(), t)
-	noting.Lock()
-	entered(why, time.Since(began))
-	noting.Unlock()
+// run acquires a slot, passes the refusal and the wait to entered, and on success
+// holds the slot for the duration of work.
+func run(c *admit.Controller, target *route.Target, caller string, work time.Duration, entered func(why *reason.Reason, waited time.Duration)) {
+	startedAt := time.Now()
+	r := &admit.Request{Target: target, Caller: caller, Deadline: startedAt.Add(target.Class.Deadline)}
+	b, why := c.Acquire(context.Background(), r)
+	resultsMu.Lock()
+	entered(why, time.Since(startedAt))
+	resultsMu.Unlock()
 	if why == nil {
 		time.Sleep(work)
-		g.Release(b, t, work)
+		c.Release(b, r, work)
 	}
 }
 
 const work = 200 * time.Millisecond
 
-// teach lets the gate see how long an answer takes.
-func teach(g *admit.Controller, table *route.Table) {
-	run(g, table.Models["common"], "x", work, func(*reason.Reason, time.Duration) {})
-	run(g, table.Models["urgent"], "x", work, func(*reason.Reason, time.Duration) {})
+// trainEstimates records one answer time for each model.
+func trainEstimates(c *admit.Controller, table *route.Table) {
+	run(c, table.Models["common"], "x", work, func(*reason.Reason, time.Duration) {})
+	run(c, table.Models["urgent"], "x", work, func(*reason.Reason, time.Duration) {})
 }
 
-func TestUrgentGoesFirst(t *testing.T) {
+func TestHigherPriorityStartsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate, table := newGate(t)
-		teach(gate, table)
+		controller, table := newController(t)
+		trainEstimates(controller, table)
 		var order []string
-		note := func(name string) func(*reason.Reason, time.Duration) {
+		record := func(name string) func(*reason.Reason, time.Duration) {
 			return func(why *reason.Reason, _ time.Duration) {
 				if why == nil {
 					order = append(order, name)
@@ -94,24 +95,24 @@
 			}
 		}
 		for i, name := range []string{"common", "common", "common", "common", "urgent"} {
-			go run(gate, table.Models[name], "c", work+time.Duration(i), note(fmt.Sprint(name, i))) // none ends with another
+			go run(controller, table.Models[name], "c", work+time.Duration(i), record(fmt.Sprint(name, i))) // no two end at the same time
 			synctest.Wait()
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		noting.Lock()
-		defer noting.Unlock()
+		resultsMu.Lock()
+		defer resultsMu.Unlock()
 		NewWithT(t).Expect(order[2:3]).To(Equal([]string{"urgent4"}), "%v", order)
 	})
 }
 
-func TestCallersTakeTurns(t *testing.T) {
+func TestFairnessBetweenCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate, table := newGate(t)
-		teach(gate, table)
+		controller, table := newController(t)
+		trainEstimates(controller, table)
 		var order []string
 		for i, caller := range []string{"greedy", "greedy", "greedy", "greedy", "modest"} {
-			go run(gate, table.Models["common"], caller, work+time.Duration(i), func(why *reason.Reason, _ time.Duration) {
+			go run(controller, table.Models["common"], caller, work+time.Duration(i), func(why *reason.Reason, _ time.Duration) {
 				if why == nil {
 					order = append(order, caller)
 				}
@@ -120,20 +121,20 @@
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		noting.Lock()
-		defer noting.Unlock()
+		resultsMu.Lock()
+		defer resultsMu.Unlock()
 		NewWithT(t).Expect(order[2]).To(Equal("modest"), "%v", order)
 	})
 }
 
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestRefusesUnattainableDeadlineImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate, table := newGate(t)
-		teach(gate, table)
+		controller, table := newController(t)
+		trainEstimates(controller, table)
 		answered, refused := 0, 0
 		var longest time.Duration
 		for range 40 {
-			go run(gate, table.Models["common"], "c", work, func(why *reason.Reason, waited time.Duration) {
+			go run(controller, table.Models["common"], "c", work, func(why *reason.Reason, waited time.Duration) {
 				if why == nil {
 					answered++
 					return
@@ -144,89 +145,89 @@
 			synctest.Wait()
 		}
 		g := NewWithT(t)
-		noting.Lock()
-		g.Expect(refused).To(BeNumerically(">=", 30), "most must be refused on arrival")
+		resultsMu.Lock()
+		g.Expect(refused).To(BeNumerically(">=", 30), "most must be refused immediately")
 		g.Expect(longest).To(BeZero())
-		noting.Unlock()
+		resultsMu.Unlock()
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		noting.Lock()
-		defer noting.Unlock()
+		resultsMu.Lock()
+		defer resultsMu.Unlock()
 		g.Expect(answered + refused).To(Equal(40))
-		g.Expect(answered).To(BeNumerically(">=", 6), "four rounds of two fit into the deadline, less what is kept for late ones")
-		g.Expect(longest).To(BeNumerically("<=", time.Second-work), "nobody waits when its own work does not fit any more (3)")
+		g.Expect(answered).To(BeNumerically(">=", 6), "four rounds of two fit into the deadline, less the margin for late answers")
+		g.Expect(longest).To(BeNumerically("<=", time.Second-work), "no request waits once its own work no longer fits before the deadline (3)")
 	})
 }
 
-// TestWaitingEndsWithOwnWork has a request wait for a server that hangs: it is
-// given up when its own work does not fit any more, not at its deadline.
-func TestWaitingEndsWithOwnWork(t *testing.T) {
+// TestWaitEndsWhenRequestCannotFinish checks that a request waiting for a server
+// that hangs is given up when its own work no longer fits, not at its deadline.
+func TestWaitEndsWhenRequestCannotFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate, table := newGate(t)
-		teach(gate, table)
+		controller, table := newController(t)
+		trainEstimates(controller, table)
 		for range 2 {
-			go run(gate, table.Models["common"], "hang", 10*time.Second, func(*reason.Reason, time.Duration) {})
+			go run(controller, table.Models["common"], "hang", 10*time.Second, func(*reason.Reason, time.Duration) {})
 			synctest.Wait()
 		}
 		var waited time.Duration
 		var why *reason.Reason
-		run(gate, table.Models["urgent"], "c", work, func(r *reason.Reason, w time.Duration) { why, waited = r, w })
+		run(controller, table.Models["urgent"], "c", work, func(r *reason.Reason, w time.Duration) { why, waited = r, w })
 		g := NewWithT(t)
 		g.Expect(why).To(Equal(reason.Overloaded))
 		g.Expect(waited).To(BeNumerically("<=", time.Second-work))
-		g.Expect(gate.Waiting()).To(BeZero())
+		g.Expect(controller.Waiting()).To(BeZero())
 		time.Sleep(20 * time.Second)
 	})
 }
 
-func TestHangingUpGivesTheTurnAway(t *testing.T) {
+func TestCancelledRequestLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate, table := newGate(t)
+		controller, table := newController(t)
 		target := table.Models["common"]
 		for range 2 {
-			go run(gate, target, "c", work, func(*reason.Reason, time.Duration) {})
+			go run(controller, target, "c", work, func(*reason.Reason, time.Duration) {})
 			synctest.Wait()
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		go gate.Acquire(ctx, &admit.Request{Target: target, Caller: "gone", Deadline: time.Now().Add(time.Second)})
+		go controller.Acquire(ctx, &admit.Request{Target: target, Caller: "gone", Deadline: time.Now().Add(time.Second)})
 		synctest.Wait()
 		g := NewWithT(t)
-		g.Expect(gate.Waiting()).To(Equal(1))
+		g.Expect(controller.Waiting()).To(Equal(1))
 		cancel()
 		synctest.Wait()
-		g.Expect(gate.Waiting()).To(BeZero())
+		g.Expect(controller.Waiting()).To(BeZero())
 		time.Sleep(time.Second)
 		synctest.Wait()
-		noting.Lock()
-		defer noting.Unlock()
+		resultsMu.Lock()
+		defer resultsMu.Unlock()
 		g.Expect(target.Backends[0].InFlight()).To(BeZero())
 	})
 }
 
-func TestLateFirstEventIsRefusedAtOnce(t *testing.T) {
+func TestRefusesLateFirstEventImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate, table := newGate(t)
+		controller, table := newController(t)
 		enter := func(firstBy time.Duration) (*admit.Request, *route.Backend, *reason.Reason) {
 			now := time.Now()
-			k := &admit.Request{Target: table.Models["common"], Deadline: now.Add(time.Hour), FirstEventDeadline: now.Add(firstBy)}
-			b, why := gate.Acquire(context.Background(), k)
-			return k, b, why
+			r := &admit.Request{Target: table.Models["common"], Deadline: now.Add(time.Hour), FirstEventDeadline: now.Add(firstBy)}
+			b, why := controller.Acquire(context.Background(), r)
+			return r, b, why
 		}
 		k, b, _ := enter(time.Second)
 		time.Sleep(work)
-		gate.RecordFirstEvent(k, work)
-		gate.Release(b, k, work)
-		for range 2 { // both places are taken
+		controller.RecordFirstEvent(k, work)
+		controller.Release(b, k, work)
+		for range 2 { // both slots are taken
 			_, _, why := enter(time.Second)
 			NewWithT(t).Expect(why).To(BeNil())
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		_, _, why := enter(work / 2)
 		g := NewWithT(t)
 		g.Expect(why).To(Equal(reason.Overloaded))
-		g.Expect(time.Since(began)).To(BeZero())
+		g.Expect(time.Since(startedAt)).To(BeZero())
 		_, _, why = enter(2 * work)
 		g.Expect(why).To(Equal(reason.Overloaded))
-		g.Expect(time.Since(began)).To(BeNumerically("<", 2*work), "it is told while the first event could still come in time elsewhere")
+		g.Expect(time.Since(startedAt)).To(BeNumerically("<", 2*work), "it is refused while the first event could still come in time elsewhere")
 	})
 }
