--- a/crasher/print_test.go
+++ b/crasher/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"leverdrum/crasher"
 )
 
-func TestPrints(t *testing.T) {
+func TestFingerprints(t *testing.T) {
 	base := crasher.Content{Method: "POST", Host: "h.example", Target: "/a/x?q=1", Model: "m/a1", Body: []byte("body")}
 	for name, change := range map[string]func(*crasher.Content){
 		"method": func(c *crasher.Content) { c.Method = "PUT" },
--- /dev/null
+++ b/crasher/watcher.go
@@ -0,0 +1,201 @@
+package crasher
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"leverdrum/wire"
+)
+
+// Liveness is the state of a server at which an attempt failed.
+type Liveness int
+
+// Values of Liveness.
+const (
+	// Unknown means that the server does not answer.
+	Unknown Liveness = iota
+	// Running means that the server is still running.
+	Running
+	// Terminated means that nothing listens at the server's address any more.
+	Terminated
+)
+
+const (
+	// longRunThreshold is how long after its first event a request has run for long (2).
+	longRunThreshold = time.Second
+	// pendingTTL is how long a failed attempt waits for the state of its server: an unreachable server is
+	// counted as unresponsive within about four seconds.
+	pendingTTL = 10 * time.Second
+	// maxPending bounds the pending attempts of all servers. If 10,000 requests a second all fail, only a part
+	// is reported.
+	maxPending = 4096
+)
+
+// probeDelays are the times after a failure at which the server is probed. A process that terminates closes its
+// connections and its port within some milliseconds; a server whose port still answers at the last probe keeps
+// running.
+var probeDelays = []time.Duration{5 * time.Millisecond, 100 * time.Millisecond, 400 * time.Millisecond}
+
+// Server identifies a backend server in crash reports.
+type Server struct {
+	// ID is the server's incarnation, Version that of its software.
+	ID, Version string
+}
+
+// FailedAttempt is an attempt that failed before its answer was complete.
+type FailedAttempt struct {
+	Fingerprint Fingerprint
+	// SentAt is when the request was sent, FirstEventAt when its first event came (zero if none came), and
+	// FailedAt when the attempt failed.
+	SentAt, FirstEventAt, FailedAt time.Time
+	// Unresponsive reports that the connection did not fail, but the server became unresponsive.
+	Unresponsive bool
+}
+
+// weak reports whether the attempt is weak evidence (2).
+func (b *FailedAttempt) weak() bool {
+	return b.Unresponsive || !b.FirstEventAt.IsZero() && b.FailedAt.Sub(b.FirstEventAt) > longRunThreshold
+}
+
+// Watcher keeps a box's failed attempts until it is known whether their server terminated (1).
+type Watcher struct {
+	report     func(*wire.CrashReport)
+	clockStart time.Time // origin of the clock by which this box's evidence is compared
+	served     *ServedCache
+
+	mu      sync.Mutex
+	pending map[Server]*pendingAttempts
+	count   int
+}
+
+type pendingAttempts struct {
+	attempts []FailedAttempt
+	probing  bool
+}
+
+// NewWatcher returns a Watcher that passes its reports to report, which must not block.
+func NewWatcher(report func(*wire.CrashReport)) *Watcher {
+	return &Watcher{report: report, clockStart: time.Now(), served: NewServedCache(), pending: map[Server]*pendingAttempts{}}
+}
+
+// RecordFailure records a failed attempt. probe returns the state of the server; it is called on another goroutine,
+// at most once for each of probeDelays. If it is nil, only the replicated state of the server counts.
+func (w *Watcher) RecordFailure(s Server, attempt FailedAttempt, probe func() Liveness) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.dropExpired(time.Now())
+	if w.count >= maxPending {
+		return
+	}
+	waiting := w.pending[s]
+	if waiting == nil {
+		waiting = &pendingAttempts{}
+		w.pending[s] = waiting
+	}
+	waiting.attempts = append(waiting.attempts, attempt)
+	w.count++
+	if probe != nil && !waiting.probing {
+		waiting.probing = true
+		go w.probeServer(s, probe)
+	}
+}
+
+func (w *Watcher) probeServer(s Server, probe func() Liveness) {
+	startedAt := time.Now()
+	liveness := Unknown
+	for _, delay := range probeDelays {
+		time.Sleep(delay - time.Since(startedAt))
+		if liveness = probe(); liveness == Terminated {
+			break
+		}
+	}
+	switch liveness {
+	case Terminated:
+		w.RecordTermination(s)
+	case Running:
+		w.removePending(s)
+	default:
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if waiting := w.pending[s]; waiting != nil {
+			waiting.probing = false
+		}
+	}
+}
+
+// removePending removes and returns the pending attempts of a server.
+func (w *Watcher) removePending(s Server) []FailedAttempt {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	waiting := w.pending[s]
+	if waiting == nil {
+		return nil
+	}
+	delete(w.pending, s)
+	w.count -= len(waiting.attempts)
+	return waiting.attempts
+}
+
+// PendingServers returns the servers with pending attempts.
+func (w *Watcher) PendingServers() (list []Server) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for s := range w.pending {
+		list = append(list, s)
+	}
+	return list
+}
+
+// RecordTermination reports the attempts that failed at a terminated server.
+func (w *Watcher) RecordTermination(s Server) {
+	now := time.Now()
+	list := slices.DeleteFunc(w.removePending(s), func(b FailedAttempt) bool { return now.Sub(b.FailedAt) > pendingTTL })
+	if len(list) == 0 {
+		return
+	}
+	r := &wire.CrashReport{}
+	for i := range list {
+		b := &list[i]
+		r.Signs = append(r.Signs, &wire.CrashSign{
+			Print: b.Fingerprint[:], Server: s.ID, Version: s.Version, Weak: b.weak(), SentAgoMs: ms(now.Sub(b.SentAt)), EndedAgoMs: ms(now.Sub(b.FailedAt)),
+			SentHereMs: b.SentAt.Sub(w.clockStart).Milliseconds(), EndedHereMs: b.FailedAt.Sub(w.clockStart).Milliseconds(),
+		})
+	}
+	w.report(r)
+}
+
+// RecordDrained drops the attempts that failed at a server that had reported that it is draining (1).
+func (w *Watcher) RecordDrained(s Server) { w.removePending(s) }
+
+// RecordServed records that a server answered a request in full, and reports it if the request is suspected (5).
+func (w *Watcher) RecordServed(p Fingerprint, version string, registry *Registry) {
+	w.served.Record(p, version)
+	if registry.Suspected(p, version) {
+		w.report(&wire.CrashReport{Served: []*wire.ServedSuspect{{Print: p[:], Version: version}}})
+	}
+}
+
+// ReportServed reports the committed suspects that this box saw answered before.
+func (w *Watcher) ReportServed(registry *Registry) {
+	if r := w.served.ClearReport(registry); r != nil {
+		w.report(r)
+	}
+}
+
+// dropExpired drops attempts older than pendingTTL. Attempts are listed in the order in which they failed.
+func (w *Watcher) dropExpired(now time.Time) {
+	for s, waiting := range w.pending {
+		expired := 0
+		for expired < len(waiting.attempts) && now.Sub(waiting.attempts[expired].FailedAt) > pendingTTL {
+			expired++
+		}
+		waiting.attempts = waiting.attempts[expired:]
+		w.count -= expired
+		if len(waiting.attempts) == 0 && !waiting.probing {
+			delete(w.pending, s)
+		}
+	}
+}
+
+func ms(d time.Duration) uint32 { return uint32(max(0, d.Milliseconds())) }
--- /dev/null
+++ b/crasher/watcher_test.go
@@ -0,0 +1,88 @@
+package crasher
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/onsi/gomega"
+
+	"leverdrum/wire"
+)
+
+// Checks what a box reports for a failed attempt, by the state of its server and when it is known.
+func TestReportedEvidence(t *testing.T) {
+	now := func() FailedAttempt { t := time.Now(); return FailedAttempt{SentAt: t.Add(-time.Second), FailedAt: t} }
+	ran := func() FailedAttempt { b := now(); b.FirstEventAt = b.FailedAt.Add(-900 * time.Millisecond); return b }
+	ranLong := func() FailedAttempt { b := now(); b.FirstEventAt = b.FailedAt.Add(-2 * time.Second); return b }
+	for name, c := range map[string]struct {
+		attempt        func() FailedAttempt
+		liveness       []Liveness    // in turn; the last one repeats
+		committedAfter time.Duration // until the server's termination is committed; 0: never
+		reported       int
+		weak           bool
+	}{
+		"terminated at the first probe":         {now, []Liveness{Terminated}, 0, 1, false},
+		"terminated at the last probe":          {now, []Liveness{Running, Running, Terminated}, 0, 1, false},
+		"running":                               {now, []Liveness{Running}, time.Second, 0, false},
+		"unknown, committed early":              {now, []Liveness{Unknown}, 4 * time.Second, 1, false},
+		"unknown, committed late":               {now, []Liveness{Unknown}, 11 * time.Second, 0, false},
+		"unknown, never committed":              {now, []Liveness{Unknown}, 0, 0, false},
+		"terminated soon after the first event": {ran, []Liveness{Terminated}, 0, 1, false},
+		"terminated after a long run":           {ranLong, []Liveness{Terminated}, 0, 1, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				g := NewWithT(t)
+				var signs []*wire.CrashSign
+				w := NewWatcher(func(r *wire.CrashReport) { signs = append(signs, r.Signs...) })
+				s := Server{ID: "s", Version: "v"}
+				probes := 0
+				w.RecordFailure(s, c.attempt(), func() Liveness {
+					probes++
+					return c.liveness[min(probes, len(c.liveness))-1]
+				})
+				if c.committedAfter > 0 {
+					time.Sleep(c.committedAfter)
+					w.RecordTermination(s)
+				}
+				time.Sleep(20 * time.Second)
+				synctest.Wait()
+				g.Expect(signs).To(HaveLen(c.reported))
+				if c.reported > 0 {
+					g.Expect(signs[0].Weak).To(Equal(c.weak))
+					g.Expect(signs[0].SentAgoMs - signs[0].EndedAgoMs).To(BeEquivalentTo(1000))
+				}
+				w.RecordFailure(s, c.attempt(), nil)
+				g.Expect(w.PendingServers()).To(Equal([]Server{s}), "expired attempts are dropped")
+				g.Expect(w.count).To(Equal(1))
+			})
+		})
+	}
+}
+
+// The number of pending attempts is bounded, however many fail.
+func TestPendingIsBounded(t *testing.T) {
+	g := NewWithT(t)
+	w := NewWatcher(func(*wire.CrashReport) {})
+	for range 2 * maxPending {
+		w.RecordFailure(Server{ID: "s"}, FailedAttempt{FailedAt: time.Now()}, nil)
+	}
+	g.Expect(w.count).To(Equal(maxPending))
+	w.RecordDrained(Server{ID: "s"})
+	g.Expect(w.count).To(BeZero())
+}
+
+func TestServedCacheIsBoundedAndReportsOnce(t *testing.T) {
+	g := NewWithT(t)
+	s := NewServedCache()
+	for n := range 3000 {
+		s.Record(FingerprintOf(Content{Target: string(rune(n))}), "v")
+	}
+	g.Expect(s.entries).To(HaveLen(maxServed))
+	newest := FingerprintOf(Content{Target: string(rune(2999))})
+	b := NewRegistry()
+	b.Apply(&wire.CrashReport{Signs: []*wire.CrashSign{{Print: newest[:], Server: "x", Version: "v"}}}, CommitPosition{Index: 5, Term: 1})
+	g.Expect(s.ClearReport(&b).Served).To(HaveLen(1))
+	g.Expect(s.ClearReport(&b)).To(BeNil(), "until the table changes again")
+}
