--- a/keyed/keyed.go
+++ b/keyed/keyed.go
@@ -1,6 +1,5 @@
-// Package keyed runs the claims of package claim between the boxes: it asks the
-// holders of a key, answers other boxes, and takes slots over when the list of
-// boxes changes.
+// Package keyed implements the claims of package claim across boxes: it requests claims from the holders of a
+// key, answers the requests of other boxes, and transfers the claims of slots when the list of boxes changes.
 package keyed
 
 import (
@@ -17,63 +16,63 @@
 )
 
 const (
-	// askTimeout bounds one question to one holder.
-	askTimeout = 400 * time.Millisecond
-	// againPause is the wait before holders are asked again after a change of
-	// the list of boxes.
-	againPause = 20 * time.Millisecond
-	// acquireTimeout bounds all questions for one claim.
+	// requestTimeout bounds one request to one holder.
+	requestTimeout = 400 * time.Millisecond
+	// retryDelay is the delay before the holders are asked again after a change of the list of boxes.
+	retryDelay = 20 * time.Millisecond
+	// acquireTimeout bounds all requests for one claim.
 	acquireTimeout = 1500 * time.Millisecond
-	// recordTimeout bounds waiting until a majority keeps an answer.
+	// recordTimeout bounds the wait until a majority has stored a result.
 	recordTimeout = 500 * time.Millisecond
-	// restEvery is the time between two looks at what is still to be taken over, at most.
-	restEvery = time.Second
-	// sweepEvery is the time between two looks for claims that have ended.
-	sweepEvery = 10 * time.Second
-	// keepBody is the largest body, in bytes, that is kept of an answer.
-	keepBody = 64 << 10
+	// pullInterval is the maximum time between two checks for slots that remain to be transferred to this box.
+	pullInterval = time.Second
+	// sweepInterval is the time between two removals of expired claims.
+	sweepInterval = 10 * time.Second
+	// maxStoredBody is the size in bytes of the largest response body that is stored.
+	maxStoredBody = 64 << 10
 )
 
-// PeerClient asks other boxes.
+// PeerClient sends requests to other boxes.
 type PeerClient interface {
 	Call(ctx context.Context, box string, r *wire.Request) (*wire.Response, error)
 }
 
-// ClaimReplica is one box's part in guarding keys.
+// ClaimReplica stores the claims whose slots this box holds, and coordinates this box's own claims with their
+// holders.
 type ClaimReplica struct {
-	self    string // process
+	self    string // process ID
 	replica *replica.Replica
-	caller  PeerClient
+	peers   PeerClient
 	meters  *meter.Meters
 
 	mu    sync.Mutex
 	table *claim.Table
 
-	entered uint64 // the newest epoch that the table is in; of Run only
-	pace    pace   // of Run only
+	lastEpoch uint64      // newest epoch of the table; used only by Run
+	backoff   pullBackoff // used only by Run
 }
 
-// New returns the guard of a process; Run makes it work.
-func New(self string, r *replica.Replica, c PeerClient, m *meter.Meters) *ClaimReplica {
-	return &ClaimReplica{self: self, replica: r, caller: c, meters: m, table: claim.NewTable(self), pace: pace{}}
+// New returns the claim replica of a process. Run must be called to start it.
+func New(self string, r *replica.Replica, peers PeerClient, meters *meter.Meters) *ClaimReplica {
+	return &ClaimReplica{self: self, replica: r, peers: peers, meters: meters, table: claim.NewTable(self), backoff: pullBackoff{}}
 }
 
-func (g *ClaimReplica) now() time.Duration { return g.replica.Now() }
+func (cr *ClaimReplica) now() time.Duration { return cr.replica.Now() }
 
-// Run follows the list of boxes and takes slots over, until the context ends.
-func (g *ClaimReplica) Run(ctx context.Context) {
+// Run follows the list of boxes and pulls the claims of new slots, until the context is done.
+func (cr *ClaimReplica) Run(ctx context.Context) {
 	swept := time.Now()
 	for ctx.Err() == nil {
-		changed := g.replica.Changed()
-		g.enter()
-		g.pull(ctx)
-		if time.Since(swept) > sweepEvery {
+		changed := cr.replica.Changed()
+		cr.advanceEpoch()
+		cr.pullSlots(ctx)
+		if time.Since(swept) > sweepInterval {
 			swept = time.Now()
-			g.mu.Lock()
-			g.table.Sweep(g.now())
-			g.mu.Unlock()
+			cr.mu.Lock()
+			cr.table.Sweep(cr.now())
+			cr.mu.Unlock()
 		}
-		timer := time.NewTimer(g.pace.next(g.now(), restEvery))
+		timer := time.NewTimer(cr.backoff.untilNext(cr.now(), pullInterval))
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -83,14 +82,14 @@
 	}
 }
 
-// enter takes over new epochs. Most changes of the agreed state bring none, and at a
-// hundred boxes the list is long.
-func (g *ClaimReplica) enter() {
-	list := g.replica.View().Epochs
-	if len(list) == 0 || list[len(list)-1].Number <= g.entered {
+// advanceEpoch applies new epochs to the table. Most changes of the replicated state contain none, and with a
+// hundred boxes the list is long, so it is converted only if it has a new epoch.
+func (cr *ClaimReplica) advanceEpoch() {
+	list := cr.replica.View().Epochs
+	if len(list) == 0 || list[len(list)-1].Number <= cr.lastEpoch {
 		return
 	}
-	g.entered = list[len(list)-1].Number
+	cr.lastEpoch = list[len(list)-1].Number
 	var epochs []claim.Epoch
 	for _, e := range list {
 		next := claim.Epoch{Number: e.Number}
@@ -99,82 +98,82 @@
 		}
 		epochs = append(epochs, next)
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.table.AdvanceEpoch(g.now(), epochs)
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	cr.table.AdvanceEpoch(cr.now(), epochs)
 }
 
-// Acquire claims a key for an attempt. Granted means that the attempt may call;
-// Taken and OtherCall come with the claim that stands against it; NotReady
-// means that no majority of the holders could be asked.
-func (g *ClaimReplica) Acquire(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
+// Acquire claims a key for an attempt. Granted means that the attempt may start the call; Taken and OtherCall
+// include the conflicting claim; NotReady means that no majority of the holders could be reached.
+func (cr *ClaimReplica) Acquire(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	answer := claim.Answer{Verdict: claim.NotReady}
 	for ctx.Err() == nil {
-		answer = g.askAll(ctx, key, attempt, digest)
+		answer = cr.acquireFromHolders(ctx, key, attempt, digest)
 		if answer.Verdict != claim.NotReady {
 			break
 		}
-		wait.For(ctx, againPause)
+		wait.For(ctx, retryDelay)
 	}
-	g.meters.Count(meter.Claims, string(answer.Verdict)).Inc()
+	cr.meters.Count(meter.Claims, string(answer.Verdict)).Inc()
 	switch answer.Verdict {
 	case claim.Granted:
 	case claim.NotReady:
-		go g.Release(key, attempt) // the refusal must not wait for holders that are gone
+		go cr.Release(key, attempt) // the refusal must not wait for unreachable holders
 	default:
-		g.Release(key, attempt)
+		cr.Release(key, attempt)
 	}
 	return answer
 }
 
-func (g *ClaimReplica) holders(key string) (holders []string, epoch uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := g.table.Current()
+// holders returns the holders of a key and the current epoch.
+func (cr *ClaimReplica) holders(key string) (holders []string, epoch uint64) {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	c := cr.table.Current()
 	if c == nil {
 		return nil, 0
 	}
 	return c.Holders(claim.SlotOf(key)), c.Number
 }
 
-// askAll asks all holders of one epoch at once and returns as soon as a
-// majority has granted.
-func (g *ClaimReplica) askAll(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
-	holders, epoch := g.holders(key)
+// acquireFromHolders requests the claim from all holders of one epoch in parallel and returns as soon as a majority
+// has granted it.
+func (cr *ClaimReplica) acquireFromHolders(ctx context.Context, key, attempt string, digest []byte) claim.Answer {
+	holders, epoch := cr.holders(key)
 	answers := make(chan claim.Answer, len(holders))
 	for _, h := range holders {
-		go func() { answers <- g.ask(ctx, h, key, attempt, digest, epoch) }()
+		go func() { answers <- cr.acquireFrom(ctx, h, key, attempt, digest, epoch) }()
 	}
 	granted := 0
-	against := claim.Answer{Verdict: claim.NotReady}
+	conflict := claim.Answer{Verdict: claim.NotReady}
 	for range holders {
 		a := <-answers
 		switch a.Verdict {
 		case claim.Granted:
 			granted++
 		case claim.Taken, claim.OtherCall:
-			if against.Conflict == nil || against.Conflict.Result == nil {
-				against = a
+			if conflict.Conflict == nil || conflict.Conflict.Result == nil {
+				conflict = a
 			}
 		}
 		if granted >= claim.Majority(len(holders)) {
 			return claim.Answer{Verdict: claim.Granted, Epoch: epoch}
 		}
 	}
-	return against
+	return conflict
 }
 
-func (g *ClaimReplica) ask(ctx context.Context, holder, key, attempt string, digest []byte, epoch uint64) claim.Answer {
-	if holder == g.self {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.table.Acquire(g.now(), key, attempt, digest, epoch)
+func (cr *ClaimReplica) acquireFrom(ctx context.Context, holder, key, attempt string, digest []byte, epoch uint64) claim.Answer {
+	if holder == cr.self {
+		cr.mu.Lock()
+		defer cr.mu.Unlock()
+		return cr.table.Acquire(cr.now(), key, attempt, digest, epoch)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := g.caller.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_Claim{Claim: &wire.Claim{
+	response, err := cr.peers.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_Claim{Claim: &wire.Claim{
 		Process: holder, Key: key, Attempt: attempt, Digest: digest, Epoch: epoch,
 	}}})
 	if err != nil || response.GetClaim() == nil {
@@ -183,74 +182,73 @@
 	a := response.GetClaim()
 	answer := claim.Answer{Verdict: claim.Verdict(a.Verdict), Epoch: a.Epoch}
 	if a.Other != nil {
-		answer.Conflict = g.fromRecord(a.Other)
+		answer.Conflict = cr.fromRecord(a.Other)
 	}
 	return answer
 }
 
-// Release gives up a claim whose attempt has not called and never will. What
-// does not reach a holder ends by age.
-func (g *ClaimReplica) Release(key, attempt string) {
-	g.endAll(&wire.ClaimEnd{Key: key, Attempt: attempt})
+// Release releases a claim whose attempt has not started the call and never will. Where a holder is not reached,
+// the claim expires.
+func (cr *ClaimReplica) Release(key, attempt string) {
+	cr.sendEnd(&wire.ClaimEnd{Key: key, Attempt: attempt})
 }
 
-// Record keeps how the call ended with a majority of the holders, as far as
-// they can be reached in time.
-func (g *ClaimReplica) Record(key, attempt string, digest []byte, r *claim.Result) {
+// Record stores the result of the call at a majority of the holders, as far as they can be reached in time.
+func (cr *ClaimReplica) Record(key, attempt string, digest []byte, r *claim.Result) {
 	result := &wire.CallResult{Outcome: r.Outcome, Status: uint32(r.Status), Header: r.Header, Body: r.Body}
-	if len(r.Body) > keepBody {
+	if len(r.Body) > maxStoredBody {
 		result.Header, result.Body, result.Outcome = nil, nil, OutcomeTooLarge
 	}
-	g.endAll(&wire.ClaimEnd{Key: key, Attempt: attempt, Digest: digest, Result: result})
+	cr.sendEnd(&wire.ClaimEnd{Key: key, Attempt: attempt, Digest: digest, Result: result})
 }
 
-// OutcomeTooLarge marks a call that was done, whose answer is too large to keep.
+// OutcomeTooLarge marks a call that completed, but whose response is too large to store.
 const OutcomeTooLarge = "done-too-large"
 
-// endAll tells all holders, and returns when a majority has taken it.
-func (g *ClaimReplica) endAll(e *wire.ClaimEnd) {
-	holders, _ := g.holders(e.Key)
+// sendEnd sends the end of a claim to all holders and returns when a majority has acknowledged it.
+func (cr *ClaimReplica) sendEnd(e *wire.ClaimEnd) {
+	holders, _ := cr.holders(e.Key)
 	done := make(chan bool, len(holders))
 	for _, h := range holders {
-		go func() { done <- g.end(h, e) }()
+		go func() { done <- cr.sendEndTo(h, e) }()
 	}
-	took := 0
+	acknowledged := 0
 	for range holders {
 		if <-done {
-			took++
+			acknowledged++
 		}
-		if took >= claim.Majority(len(holders)) {
+		if acknowledged >= claim.Majority(len(holders)) {
 			return
 		}
 	}
 }
 
-func (g *ClaimReplica) end(holder string, e *wire.ClaimEnd) bool {
-	if holder == g.self {
-		g.noteEnd(e)
+func (cr *ClaimReplica) sendEndTo(holder string, e *wire.ClaimEnd) bool {
+	if holder == cr.self {
+		cr.recordEnd(e)
 		return true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
-	_, err := g.caller.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_ClaimEnd{ClaimEnd: e}})
+	_, err := cr.peers.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_ClaimEnd{ClaimEnd: e}})
 	return err == nil
 }
 
-func (g *ClaimReplica) noteEnd(e *wire.ClaimEnd) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (cr *ClaimReplica) recordEnd(e *wire.ClaimEnd) {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
 	if e.Result == nil {
-		g.table.Release(e.Key, e.Attempt)
+		cr.table.Release(e.Key, e.Attempt)
 		return
 	}
-	g.table.RecordResult(g.now(), e.Key, e.Attempt, e.Digest, fromResult(e.Result))
+	cr.table.RecordResult(cr.now(), e.Key, e.Attempt, e.Digest, fromResult(e.Result))
 }
 
-// pull asks for what this box still has to take over, one question a holder.
-func (g *ClaimReplica) pull(ctx context.Context) {
-	g.mu.Lock()
-	pulls := g.pace.due(g.now(), g.table.PendingPulls(g.now()))
-	g.mu.Unlock()
+// pullSlots requests the claims of the slots that are due, with one request per holder.
+func (cr *ClaimReplica) pullSlots(ctx context.Context) {
+	cr.mu.Lock()
+	pulls := cr.backoff.due(cr.now(), cr.table.PendingPulls(cr.now()))
+	cr.mu.Unlock()
 	byHolder := map[string][]*wire.SlotPull{}
 	for _, p := range pulls {
 		for _, from := range p.From {
@@ -259,98 +257,97 @@
 	}
 	var wg sync.WaitGroup
 	for holder, slots := range byHolder {
-		wg.Go(func() { g.pullFrom(ctx, holder, slots) })
+		wg.Go(func() { cr.pullFrom(ctx, holder, slots) })
 	}
 	wg.Wait()
 }
 
-func (g *ClaimReplica) pullFrom(ctx context.Context, holder string, slots []*wire.SlotPull) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (cr *ClaimReplica) pullFrom(ctx context.Context, holder string, slots []*wire.SlotPull) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := g.caller.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_ClaimPull{ClaimPull: &wire.ClaimPull{Process: holder, Slots: slots}}})
+	response, err := cr.peers.Call(ctx, wire.BoxOf(holder), &wire.Request{Kind: &wire.Request_ClaimPull{ClaimPull: &wire.ClaimPull{Process: holder, Slots: slots}}})
 	if err != nil || response.GetClaimHandOver() == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
 	for _, s := range response.GetClaimHandOver().Slots {
 		var claims []*claim.Claim
 		for _, r := range s.Claims {
-			claims = append(claims, g.fromRecord(r))
+			claims = append(claims, cr.fromRecord(r))
 		}
-		g.table.ImportClaims(int(s.Slot), s.Epoch, holder, claims)
+		cr.table.ImportClaims(int(s.Slot), s.Epoch, holder, claims)
 	}
 }
 
-// HandleRequest answers another box; nil when the request is none of this package's.
-func (g *ClaimReplica) HandleRequest(r *wire.Request) *wire.Response {
+// HandleRequest answers a request of another box. It returns nil if the request is not for this package.
+func (cr *ClaimReplica) HandleRequest(r *wire.Request) *wire.Response {
 	switch k := r.Kind.(type) {
 	case *wire.Request_Claim:
-		return &wire.Response{Kind: &wire.Response_Claim{Claim: g.answerClaim(k.Claim)}}
+		return &wire.Response{Kind: &wire.Response_Claim{Claim: cr.handleClaim(k.Claim)}}
 	case *wire.Request_ClaimEnd:
-		g.noteEnd(k.ClaimEnd)
+		cr.recordEnd(k.ClaimEnd)
 		return &wire.Response{Kind: &wire.Response_ClaimEnd{ClaimEnd: &wire.ClaimEndAnswer{}}}
 	case *wire.Request_ClaimPull:
-		return &wire.Response{Kind: &wire.Response_ClaimHandOver{ClaimHandOver: g.handOver(k.ClaimPull)}}
+		return &wire.Response{Kind: &wire.Response_ClaimHandOver{ClaimHandOver: cr.exportSlots(k.ClaimPull)}}
 	}
 	return nil
 }
 
-func (g *ClaimReplica) answerClaim(c *wire.Claim) *wire.ClaimAnswer {
-	if c.Process != g.self {
+func (cr *ClaimReplica) handleClaim(c *wire.Claim) *wire.ClaimAnswer {
+	if c.Process != cr.self {
 		return &wire.ClaimAnswer{Verdict: string(claim.OtherEpoch)}
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	a := g.table.Acquire(g.now(), c.Key, c.Attempt, c.Digest, c.Epoch)
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	a := cr.table.Acquire(cr.now(), c.Key, c.Attempt, c.Digest, c.Epoch)
 	answer := &wire.ClaimAnswer{Verdict: string(a.Verdict), Epoch: a.Epoch}
 	if a.Conflict != nil {
-		answer.Other = g.toRecord(a.Conflict)
+		answer.Other = cr.toRecord(a.Conflict)
 	}
 	return answer
 }
 
-func (g *ClaimReplica) handOver(p *wire.ClaimPull) *wire.ClaimHandOver {
-	over := &wire.ClaimHandOver{}
-	if p.Process != g.self {
-		return over
+func (cr *ClaimReplica) exportSlots(p *wire.ClaimPull) *wire.ClaimHandOver {
+	answer := &wire.ClaimHandOver{}
+	if p.Process != cr.self {
+		return answer
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
 	for _, s := range p.Slots {
-		claims, ok := g.table.ExportClaims(g.now(), int(s.Slot), s.Epoch)
+		claims, ok := cr.table.ExportClaims(cr.now(), int(s.Slot), s.Epoch)
 		if !ok {
 			continue
 		}
-		row := &wire.SlotClaims{Slot: s.Slot, Epoch: s.Epoch}
+		slotClaims := &wire.SlotClaims{Slot: s.Slot, Epoch: s.Epoch}
 		for _, c := range claims {
-			row.Claims = append(row.Claims, g.toRecord(c))
+			slotClaims.Claims = append(slotClaims.Claims, cr.toRecord(c))
 		}
-		over.Slots = append(over.Slots, row)
+		answer.Slots = append(answer.Slots, slotClaims)
 	}
-	return over
+	return answer
 }
 
-// HandedOver reports whether no slot is held by this box any more, nor being
-// waited for: the next holders of every slot that it held are ready. It asks
-// nobody; a planned stop waits a little for the others to pull.
-func (g *ClaimReplica) HandedOver() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := g.table.Current()
-	return c == nil || !slices.ContainsFunc(c.Processes, func(p claim.Process) bool { return p.ID == g.self })
+// HandedOver reports whether this box holds no slot any more and is not needed as a source of one: the next holders
+// of all its slots are ready. It sends no requests; a planned stop waits a short time for the others to pull.
+func (cr *ClaimReplica) HandedOver() bool {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	c := cr.table.Current()
+	return c == nil || !slices.ContainsFunc(c.Processes, func(p claim.Process) bool { return p.ID == cr.self })
 }
 
-func (g *ClaimReplica) toRecord(c *claim.Claim) *wire.ClaimRecord {
-	r := &wire.ClaimRecord{Key: c.Key, Attempt: c.Attempt, Digest: c.Digest, AgeMs: uint32((g.now() - c.CreatedAt).Milliseconds())}
+func (cr *ClaimReplica) toRecord(c *claim.Claim) *wire.ClaimRecord {
+	r := &wire.ClaimRecord{Key: c.Key, Attempt: c.Attempt, Digest: c.Digest, AgeMs: uint32((cr.now() - c.CreatedAt).Milliseconds())}
 	if c.Result != nil {
 		r.Result = &wire.CallResult{Outcome: c.Result.Outcome, Status: uint32(c.Result.Status), Header: c.Result.Header, Body: c.Result.Body}
 	}
 	return r
 }
 
-func (g *ClaimReplica) fromRecord(r *wire.ClaimRecord) *claim.Claim {
-	c := &claim.Claim{Key: r.Key, Attempt: r.Attempt, Digest: r.Digest, CreatedAt: g.now() - time.Duration(r.AgeMs)*time.Millisecond}
+func (cr *ClaimReplica) fromRecord(r *wire.ClaimRecord) *claim.Claim {
+	c := &claim.Claim{Key: r.Key, Attempt: r.Attempt, Digest: r.Digest, CreatedAt: cr.now() - time.Duration(r.AgeMs)*time.Millisecond}
 	if r.Result != nil {
 		c.Result = fromResult(r.Result)
 	}
@@ -361,5 +358,5 @@
 	return &claim.Result{Outcome: r.Outcome, Status: int(r.Status), Header: r.Header, Body: r.Body}
 }
 
-// AgeOf returns how long ago a claim was made.
-func (g *ClaimReplica) AgeOf(c *claim.Claim) time.Duration { return g.now() - c.CreatedAt }
+// AgeOf returns the time since a claim was made.
+func (cr *ClaimReplica) AgeOf(c *claim.Claim) time.Duration { return cr.now() - c.CreatedAt }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -160,7 +160,7 @@
 mutant silent-session-stays peer/link.go 's/return waits != 0 && /return false \&\& /' peer 'TestASilent'
 mutant any-word-replaces state/announce.go 's/\(old == nil \|\| a.TakeResidents\) && //' state 'TestAnnouncementWithoutTakeResidents'
 mutant updates-too-large replica/follow.go 's/maxUpdateBytes = 64 << 10/maxUpdateBytes = 1 << 20/' replica 'TestUpdatesPass'
-mutant pulls-at-full-pace keyed/pace.go 's/askFirst<<min\(x.asked, 20\)/askFirst/' keyed 'TestHoldersThatCannot'
+mutant pulls-at-full-pace keyed/backoff.go 's/firstPullInterval<<min\(backoff.attempts, 20\)/firstPullInterval/' keyed 'TestBacksOffFromHolders'
 mutant waits-in-vain gateway/patience.go 's/, left <= 0/, false/' gateway 'TestWhatDoesNotCome'
 mutant gives-up-what-comes gateway/patience.go 's/if at, coming := j.comesAt\(\); coming && at.Before/if at, coming := j.comesAt(); coming \&\& !at.IsZero() \&\& false \&\& at.Before/' gateway 'TestWhatDoesNotCome'
 mutant waits-for-who-left gateway/choose.go 's/return !leaves && !s.gone/return (leaves || !leaves) \&\& !s.gone/' gateway 'TestServersThatLeft'
