--- a/admit/admit.go
+++ b/admit/admit.go
@@ -92,10 +92,10 @@
 func (c *Controller) Acquire(ctx context.Context, r *Request) (*route.Backend, *reason.Reason) {
 	now := time.Now()
 	c.mu.Lock()
-	b, why := c.admitOrQueue(now, r)
+	b, refusal := c.admitOrQueue(now, r)
 	c.mu.Unlock()
-	if b != nil || why != nil {
-		return b, why
+	if b != nil || refusal != nil {
+		return b, refusal
 	}
 	return c.wait(ctx, r)
 }
@@ -166,8 +166,8 @@
 
 // startsBefore reports whether a has precedence over b (2).
 func (c *Controller) startsBefore(a, b *Request) bool {
-	if c := compareUrgency(a, b); c != 0 {
-		return c < 0
+	if order := compareUrgency(a, b); order != 0 {
+		return order < 0
 	}
 	if ca, cb := c.inFlight[a.Caller], c.inFlight[b.Caller]; ca != cb {
 		return ca < cb
@@ -186,9 +186,9 @@
 		return 0
 	}
 	var work time.Duration
-	for _, w := range c.waiting {
-		if compareUrgency(w, r) <= 0 && sharesBackend(w, r) {
-			work += c.answerTimes[w.Target.Name].upperBound()
+	for _, other := range c.waiting {
+		if compareUrgency(other, r) <= 0 && sharesBackend(other, r) {
+			work += c.answerTimes[other.Target.Name].upperBound()
 		}
 	}
 	return time.Duration(float64(work) / slots)
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -59,16 +59,16 @@
 // resultsMu protects the results that concurrent requests record.
 var resultsMu sync.Mutex
 
-// run acquires a slot, passes the refusal and the wait to entered, and on success
+// run acquires a slot, passes the refusal and the wait to record, and on success
 // holds the slot for the duration of work.
-func run(c *admit.Controller, target *route.Target, caller string, work time.Duration, entered func(why *reason.Reason, waited time.Duration)) {
+func run(c *admit.Controller, target *route.Target, caller string, work time.Duration, record func(refusal *reason.Reason, waited time.Duration)) {
 	startedAt := time.Now()
 	r := &admit.Request{Target: target, Caller: caller, Deadline: startedAt.Add(target.Class.Deadline)}
-	b, why := c.Acquire(context.Background(), r)
+	b, refusal := c.Acquire(context.Background(), r)
 	resultsMu.Lock()
-	entered(why, time.Since(startedAt))
+	record(refusal, time.Since(startedAt))
 	resultsMu.Unlock()
-	if why == nil {
+	if refusal == nil {
 		time.Sleep(work)
 		c.Release(b, r, work)
 	}
@@ -88,8 +88,8 @@
 		trainEstimates(controller, table)
 		var order []string
 		record := func(name string) func(*reason.Reason, time.Duration) {
-			return func(why *reason.Reason, _ time.Duration) {
-				if why == nil {
+			return func(refusal *reason.Reason, _ time.Duration) {
+				if refusal == nil {
 					order = append(order, name)
 				}
 			}
@@ -112,8 +112,8 @@
 		trainEstimates(controller, table)
 		var order []string
 		for i, caller := range []string{"greedy", "greedy", "greedy", "greedy", "modest"} {
-			go run(controller, table.Models["common"], caller, work+time.Duration(i), func(why *reason.Reason, _ time.Duration) {
-				if why == nil {
+			go run(controller, table.Models["common"], caller, work+time.Duration(i), func(refusal *reason.Reason, _ time.Duration) {
+				if refusal == nil {
 					order = append(order, caller)
 				}
 			})
@@ -134,8 +134,8 @@
 		answered, refused := 0, 0
 		var longest time.Duration
 		for range 40 {
-			go run(controller, table.Models["common"], "c", work, func(why *reason.Reason, waited time.Duration) {
-				if why == nil {
+			go run(controller, table.Models["common"], "c", work, func(refusal *reason.Reason, waited time.Duration) {
+				if refusal == nil {
 					answered++
 					return
 				}
@@ -170,10 +170,10 @@
 			synctest.Wait()
 		}
 		var waited time.Duration
-		var why *reason.Reason
-		run(controller, table.Models["urgent"], "c", work, func(r *reason.Reason, w time.Duration) { why, waited = r, w })
+		var refusal *reason.Reason
+		run(controller, table.Models["urgent"], "c", work, func(r *reason.Reason, w time.Duration) { refusal, waited = r, w })
 		g := NewWithT(t)
-		g.Expect(why).To(Equal(reason.Overloaded))
+		g.Expect(refusal).To(Equal(reason.Overloaded))
 		g.Expect(waited).To(BeNumerically("<=", time.Second-work))
 		g.Expect(controller.Waiting()).To(BeZero())
 		time.Sleep(20 * time.Second)
@@ -210,24 +210,24 @@
 		enter := func(firstBy time.Duration) (*admit.Request, *route.Backend, *reason.Reason) {
 			now := time.Now()
 			r := &admit.Request{Target: table.Models["common"], Deadline: now.Add(time.Hour), FirstEventDeadline: now.Add(firstBy)}
-			b, why := controller.Acquire(context.Background(), r)
-			return r, b, why
+			b, refusal := controller.Acquire(context.Background(), r)
+			return r, b, refusal
 		}
 		k, b, _ := enter(time.Second)
 		time.Sleep(work)
 		controller.RecordFirstEvent(k, work)
 		controller.Release(b, k, work)
 		for range 2 { // both slots are taken
-			_, _, why := enter(time.Second)
-			NewWithT(t).Expect(why).To(BeNil())
+			_, _, refusal := enter(time.Second)
+			NewWithT(t).Expect(refusal).To(BeNil())
 		}
 		startedAt := time.Now()
-		_, _, why := enter(work / 2)
+		_, _, refusal := enter(work / 2)
 		g := NewWithT(t)
-		g.Expect(why).To(Equal(reason.Overloaded))
+		g.Expect(refusal).To(Equal(reason.Overloaded))
 		g.Expect(time.Since(startedAt)).To(BeZero())
-		_, _, why = enter(2 * work)
-		g.Expect(why).To(Equal(reason.Overloaded))
+		_, _, refusal = enter(2 * work)
+		g.Expect(refusal).To(Equal(reason.Overloaded))
 		g.Expect(time.Since(startedAt)).To(BeNumerically("<", 2*work), "it is refused while the first event could still come in time elsewhere")
 	})
 }
--- a/crasher/registry.go
+++ b/crasher/registry.go
@@ -241,10 +241,10 @@
 	return reg.Suspects[Key{p, version}].GetHeld()
 }
 
-// NextReportBlocks reports whether one more strong piece of evidence blocks a request, given its committed
-// weight or, if greater, that of unreported pieces of strong evidence.
-func (reg *Registry) NextReportBlocks(p Fingerprint, version string, unreported int) bool {
-	weight := max(reg.Suspects[Key{p, version}].GetWeight(), uint32(max(0, unreported))*strongWeight)
+// NextReportBlocks reports whether one more strong piece of evidence blocks a request, given its committed weight
+// or, if greater, the weight of as many strong pieces of evidence as are not committed yet.
+func (reg *Registry) NextReportBlocks(p Fingerprint, version string, uncommitted int) bool {
+	weight := max(reg.Suspects[Key{p, version}].GetWeight(), uint32(max(0, uncommitted))*strongWeight)
 	return weight+strongWeight >= blockWeight
 }
 
--- a/route/choose.go
+++ b/route/choose.go
@@ -91,9 +91,9 @@
 		if d.isDraining(b) || contains(c.Tried, b) || !ejectedToo && b.ejected(now) || d.blocked(b, c.Rank) {
 			return false
 		}
-		room := b.HasCapacity()
-		atLimit = atLimit || !room
-		return room
+		free := b.HasCapacity()
+		atLimit = atLimit || !free
+		return free
 	}
 	first := firstEligible(list, rand.IntN(len(list)), nil, eligible)
 	second := firstEligible(list, rand.IntN(len(list)), first, eligible)
@@ -141,8 +141,8 @@
 	if b.draining.Load() {
 		return true
 	}
-	_, drains := d.pushback.Draining(b.Name)
-	return drains
+	_, draining := d.pushback.Draining(b.Name)
+	return draining
 }
 
 // limitPenalty is the load, as a share of its concurrency, that is added for a
