--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -304,7 +304,7 @@
 // applyNextFile has the current leader commit the next file and acknowledge it as in production.
 func (c *cluster) applyNextFile() {
 	for _, p := range c.runningProcesses() {
-		if _, leads := p.replica.Lease(); leads {
+		if _, leaseHeld := p.replica.Lease(); leaseHeld {
 			c.mu.Lock()
 			c.number++
 			number := c.number
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -180,11 +180,11 @@
 // this box has. It returns false if the box has learned of no leader that led since the box's
 // process started.
 func (s *Distributor) StateAge() (time.Duration, bool) {
-	age, isLeading := s.opts.Replica.Lease()
+	age, leaseHeld := s.opts.Replica.Lease()
 	now := s.opts.Replica.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if isLeading && (!s.fresh || now-age > s.freshAt) {
+	if leaseHeld && (!s.fresh || now-age > s.freshAt) {
 		s.fresh, s.freshAt = true, now-age // kept when the lease ends
 	}
 	return now - s.freshAt, s.fresh
