--- a/peer/call.go
+++ b/peer/call.go
@@ -9,101 +9,104 @@
 	"leverdrum/wire"
 )
 
-// Call asks a box and returns its answer. A refusal comes back as RefusedError. It
-// returns when the context ends, whatever the session is held up by.
+// Call sends a request to a box and returns its response. A refusal is returned as
+// *RefusedError. Call returns when the context ends, even if the session is blocked.
 func (p *Pool) Call(ctx context.Context, box string, r *wire.Request) (*wire.Response, error) {
 	l := p.link(box)
 	s, err := p.session(ctx, box, l)
 	if err != nil {
 		return nil, err
 	}
-	return p.callOn(ctx, l, s, r)
+	return p.callOnSession(ctx, l, s, r)
 }
 
-// Fetch is Call for an answer that may be long: once it is asked, it is given up only when
-// next to nothing has come from the box for the time quiet, or the context ends. An answer that
-// is given up on its way must come again from its first byte, on links that are busy
-// already: 91 boxes that asked for 394 KB gave up 24 MB of it in 25 s.
-func (p *Pool) Fetch(ctx context.Context, box string, r *wire.Request, quiet time.Duration) (*wire.Response, error) {
+// Fetch is Call for a response that may be large. Once the request is sent, Fetch gives up
+// only if fewer than minProgress bytes arrive from the box within stallTimeout, or if the
+// context ends. An abandoned response has to be retransmitted from its first byte over
+// links that are already busy: 91 boxes requesting 394 KB abandoned 24 MB of it in 25 s.
+func (p *Pool) Fetch(ctx context.Context, box string, r *wire.Request, stallTimeout time.Duration) (*wire.Response, error) {
 	l := p.link(box)
-	dialling, cancel := context.WithTimeout(ctx, quiet)
+	dialCtx, cancel := context.WithTimeout(ctx, stallTimeout)
 	defer cancel()
-	s, err := p.session(dialling, box, l)
+	s, err := p.session(dialCtx, box, l)
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	go s.watch(ctx, end, quiet)
-	return p.callOn(ctx, l, s, r)
+	ctx, abort := context.WithCancelCause(ctx)
+	defer abort(nil)
+	go s.abortOnStall(ctx, abort, stallTimeout)
+	return p.callOnSession(ctx, l, s, r)
 }
 
-// errQuiet tells that a box stopped sending.
-var errQuiet = errors.New("the box sends next to nothing")
+// errStalled is the cause of a Fetch that was aborted for lack of progress.
+var errStalled = errors.New("response stalled: the box is sending almost no data")
 
-// progress is how much must come within the time quiet, in bytes. A link of 10 Mbit/s gives
-// each of eight that share it 40 times as much in 1.2 s; keep-alives and small
-// answers on the session stay below it.
-const progress = 4 << 10
+// minProgress is the number of bytes that must arrive within stallTimeout. A 10 Mbit/s
+// link shared by eight transfers gives each 40 times as much in 1.2 s; keep-alives and
+// small responses on the session stay below it.
+const minProgress = 4 << 10
 
-// watch ends a call once less than that has come in a whole span of quiet.
-func (s *session) watch(ctx context.Context, end context.CancelCauseFunc, quiet time.Duration) {
-	ticker := time.NewTicker(quiet)
+// abortOnStall aborts a call once fewer than minProgress bytes have arrived during one
+// interval of stallTimeout.
+func (s *session) abortOnStall(ctx context.Context, abort context.CancelCauseFunc, stallTimeout time.Duration) {
+	ticker := time.NewTicker(stallTimeout)
 	defer ticker.Stop()
-	before := s.conn.got.Load()
+	before := s.conn.received.Load()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		got := s.conn.got.Load()
-		if got-before < progress {
-			end(errQuiet)
+		received := s.conn.received.Load()
+		if received-before < minProgress {
+			abort(errStalled)
 			return
 		}
-		before = got
+		before = received
 	}
 }
 
-func (p *Pool) callOn(ctx context.Context, l *link, s *session, r *wire.Request) (*wire.Response, error) {
-	s.asked()
+func (p *Pool) callOnSession(ctx context.Context, l *link, s *session, r *wire.Request) (*wire.Response, error) {
+	s.recordRequest()
 	p.meters.Count(meter.PeerCalls, "out").Inc()
-	done := make(chan answered, 1)
-	before := s.conn.got.Load()
+	done := make(chan callResult, 1)
+	before := s.conn.received.Load()
 	go func() {
 		response, err := s.exchange(ctx, r)
-		done <- answered{response, err}
+		done <- callResult{response, err}
 	}()
 	select {
 	case a := <-done:
 		if a.err == nil || ctx.Err() == nil {
-			return a.unpack(l, s)
+			return a.result(l, s)
 		}
 	case <-ctx.Done():
 	}
-	// The end of a call's time is no fault of the session.
-	if s.silent() {
+	// A call that runs out of time is not evidence that the session is broken.
+	if s.unresponsive() {
 		l.drop(s)
 	}
-	return nil, p.givenUp(ctx, s.conn.got.Load()-before)
+	return nil, p.abandoned(ctx, s.conn.received.Load()-before)
 }
 
-// givenUp counts what had come from the box meanwhile, and says so: one that is slow to
-// send is told from one that is silent by that alone.
-func (p *Pool) givenUp(ctx context.Context, bytes int64) error {
+// abandoned adds the bytes received from the box during an abandoned call to the metrics
+// and reports them in the error. Only this figure distinguishes a slow sender from an
+// unresponsive one.
+func (p *Pool) abandoned(ctx context.Context, bytes int64) error {
 	p.meters.Count(meter.PeerGivenUp).Add(float64(bytes))
 	return Error.New("%w after %d bytes from the box", context.Cause(ctx), bytes)
 }
 
-// answered is what became of a call.
-type answered struct {
+// callResult is the outcome of a call.
+type callResult struct {
 	response *wire.Response
 	err      error
 }
 
-// unpack ends a session that failed by itself.
-func (a answered) unpack(l *link, s *session) (*wire.Response, error) {
+// result converts the outcome to the return values of a call. It drops the session if the
+// exchange itself failed.
+func (a callResult) result(l *link, s *session) (*wire.Response, error) {
 	switch {
 	case a.err != nil:
 		l.drop(s)
--- a/peer/fetch_test.go
+++ b/peer/fetch_test.go
@@ -12,18 +12,19 @@
 	"leverdrum/wire"
 )
 
-// long answers with many bytes.
-type long struct{ bytes int }
+// largeResponse is a handler that responds with the given number of bytes.
+type largeResponse struct{ bytes int }
 
-func (l long) Answer(context.Context, *wire.Member, *wire.Request) *wire.Response {
+func (l largeResponse) Answer(context.Context, *wire.Member, *wire.Request) *wire.Response {
 	return &wire.Response{Kind: &wire.Response_Probe{Probe: &wire.ProbeAnswer{Member: strings.Repeat("x", l.bytes)}}}
 }
 
-func (l long) Receive(*wire.Message) {}
+func (l largeResponse) Receive(*wire.Message) {}
 
-// slowBy proxies to an address and waits after each piece that comes from there.
-func slowBy(t *testing.T, to string, pause time.Duration) string {
-	l := loopback(t)
+// slowProxy forwards one connection to an address and pauses after each chunk it relays
+// back.
+func slowProxy(t *testing.T, to string, pause time.Duration) string {
+	l := listenLoopback(t)
 	go func() {
 		in, err := l.Accept()
 		if err != nil {
@@ -34,7 +35,7 @@
 			in.Close()
 			return
 		}
-		go (&valve{}).copy(out, in)
+		go (&proxiedConn{}).copy(out, in)
 		defer in.Close()
 		buf := make([]byte, 8<<10)
 		for {
@@ -51,28 +52,30 @@
 	return l.Addr().String()
 }
 
-// quiet is for how long nothing may come.
-const quiet = 300 * time.Millisecond
+// stallTimeout is the longest interval without progress that the tests allow.
+const stallTimeout = 300 * time.Millisecond
 
-// An answer was given up while it came, and began again at the next box.
-func TestAnAnswerOnItsWayIsNotGivenUp(t *testing.T) {
+// Guards against abandoning a response that is still arriving, which would then be
+// requested again from the next box.
+func TestFetchWaitsForSlowResponse(t *testing.T) {
 	g := NewWithT(t)
-	p := pool(t, slowBy(t, serving(t, long{400 << 10}), 20*time.Millisecond)) // over a second in all
+	p := pool(t, slowProxy(t, serve(t, largeResponse{400 << 10}), 20*time.Millisecond)) // takes over a second in total
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	began := time.Now()
-	response, err := p.Fetch(ctx, "one", probe, quiet)
+	response, err := p.Fetch(ctx, "one", probe, stallTimeout)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(response.GetProbe().Member).To(HaveLen(400 << 10))
-	g.Expect(time.Since(began)).To(BeNumerically(">", 2*quiet))
+	g.Expect(time.Since(began)).To(BeNumerically(">", 2*stallTimeout))
 }
 
-func TestABoxThatSendsNothingIsGivenUp(t *testing.T) {
+// A box that sends nothing must be given up after stallTimeout, before the context ends.
+func TestFetchAbandonsStalledResponse(t *testing.T) {
 	g := NewWithT(t)
-	p := pool(t, serving(t, newSlow()))
+	p := pool(t, serve(t, newBlockingHandler()))
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	_, err := p.Fetch(ctx, "one", probe, quiet)
-	g.Expect(err).To(MatchError(ContainSubstring("next to nothing")))
+	_, err := p.Fetch(ctx, "one", probe, stallTimeout)
+	g.Expect(err).To(MatchError(ContainSubstring("response stalled: the box is sending almost no data")))
 	g.Expect(ctx.Err()).NotTo(HaveOccurred())
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,38 +12,38 @@
 
 // Rules for frames:
 //
-//  1. A frame is written at once: its length by itself would be a frame of yamux, a system
-//     call and a wake-up at the other box of its own.
-//  2. Buffers are used again: the reader of each stream, 4 KB, was a quarter of what a leader
-//     of 300 boxes allocated, and what was written an eighth.
+//  1. The length prefix and the message are written in a single call. A separate write of the
+//     length would cost its own yamux frame, system call and wake-up of the receiving box.
+//  2. Buffers are pooled. Without pooling, the 4 KB reader of each stream made up a quarter of
+//     the allocations of a leader of 300 boxes, and the write buffers an eighth.
 
-// keepBuffer bounds the buffers that are kept for further frames, in bytes. Most frames are of
-// some hundred; a whole state has a buffer of its own.
-const keepBuffer = 64 << 10
+// maxPooledBuffer is the largest buffer returned to the pool, in bytes. Most frames are a
+// few hundred bytes; a frame carrying the whole state gets its own buffer (2).
+const maxPooledBuffer = 64 << 10
 
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
-	buffers = sync.Pool{New: func() any { return new([]byte) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+	bufferPool = sync.Pool{New: func() any { return new([]byte) }}
 )
 
-// newReader returns a buffered reader that freeReader takes back.
-func newReader(r io.Reader) *bufio.Reader {
-	b := readers.Get().(*bufio.Reader)
+// acquireReader returns a pooled buffered reader. releaseReader takes it back (2).
+func acquireReader(r io.Reader) *bufio.Reader {
+	b := readerPool.Get().(*bufio.Reader)
 	b.Reset(r)
 	return b
 }
 
-func freeReader(b *bufio.Reader) {
+func releaseReader(b *bufio.Reader) {
 	b.Reset(nil)
-	readers.Put(b)
+	readerPool.Put(b)
 }
 
-// writeFrame writes a message behind its length (1).
+// writeFrame writes a message prefixed with its length in one call (1).
 func writeFrame(w io.Writer, m proto.Message) error {
-	b := buffers.Get().(*[]byte)
+	b := bufferPool.Get().(*[]byte)
 	defer func() {
-		if cap(*b) <= keepBuffer {
-			buffers.Put(b)
+		if cap(*b) <= maxPooledBuffer {
+			bufferPool.Put(b)
 		}
 	}()
 	frame := protowire.AppendVarint((*b)[:0], uint64(proto.Size(m)))
@@ -60,9 +60,9 @@
 	return Error.Wrap(protodelim.UnmarshalOptions{MaxSize: limit}.UnmarshalFrom(r, m))
 }
 
-// readOnly reads the one frame that comes on a stream.
-func readOnly(s io.Reader, limit int64, m proto.Message) error {
-	r := newReader(s)
-	defer freeReader(r)
+// readSingleFrame reads the only frame expected on a stream.
+func readSingleFrame(s io.Reader, limit int64, m proto.Message) error {
+	r := acquireReader(s)
+	defer releaseReader(r)
 	return readFrame(r, limit, m)
 }
--- a/peer/idle.go
+++ b/peer/idle.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Rules for sessions that nothing is asked on any more:
+// Rules for idle sessions:
 //
-//  1. A box asks its parent all the time, and others once: the leader when it joins, a box
-//     that it looks for. A session that was not used for idleFor is closed by who opened it.
-//  2. It is taken out of its link first, so that what is asked next opens another one, and
-//     closed idleFor later, when whoever had it from the link before has ended.
-//  3. A stream that is open counts as use: voters keep one to each other.
+//  1. A box calls its parent continuously, and other boxes only once, such as the leader when
+//     it joins or a box that it looks for. The side that opened a session closes it after it
+//     has been unused for idleCheckInterval.
+//  2. The session is first detached from its link, so that the next call opens a new one. It is
+//     closed idleCheckInterval later, when calls that obtained it before have finished.
+//  3. An open stream counts as use: voters keep one open to each other.
 //
-// A leader of 300 boxes had 323 sessions 13 s after their start, with four goroutines and
-// 33 KB of buffer each: 10 of the 18 MB that it held.
+// A leader of 300 boxes had 323 sessions 13 s after their start. Each held four goroutines
+// and 33 KB of buffers: together 10 MB of the leader's 18 MB of memory.
 
-// idleFor is the time between two looks at the sessions, and so the least time of a session
-// without use. A box tells the leader of what requests wait for every seven seconds or so
-// on a busy day; opening a session takes three ways there and back.
-const idleFor = 15 * time.Second
+// idleCheckInterval is the time between two checks for idle sessions, and so the minimum
+// idle time of a session. On a busy day a box reports its waiting requests to the leader
+// about every 7 s; opening a session takes three round trips.
+const idleCheckInterval = 15 * time.Second
 
-// closeIdle follows the rules until the pool is closed.
+// closeIdle detaches and closes idle sessions until the pool is closed (1, 2).
 func (p *Pool) closeIdle() {
-	ticker := time.NewTicker(idleFor)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
-	var leaving []*session
+	var detached []*session
 	for {
 		select {
 		case <-p.ctx.Done():
-			for _, s := range leaving {
+			for _, s := range detached {
 				s.Close()
 			}
 			return
 		case <-ticker.C:
 		}
-		leaving = closeUnused(leaving)
+		detached = closeUnused(detached)
 		for _, l := range p.allLinks() {
-			if s := l.takeIdle(); s != nil {
-				leaving = append(leaving, s)
+			if s := l.detachIdle(); s != nil {
+				detached = append(detached, s)
 			}
 		}
 	}
 }
 
-// closeUnused closes those of the sessions that nothing is under way on, and returns the others.
-func closeUnused(list []*session) (others []*session) {
-	for _, s := range list {
+// closeUnused closes the sessions without open streams and returns the others (2, 3).
+func closeUnused(sessions []*session) (inUse []*session) {
+	for _, s := range sessions {
 		if s.NumStreams() > 0 {
-			others = append(others, s)
+			inUse = append(inUse, s)
 			continue
 		}
 		s.Close()
 	}
-	return others
+	return inUse
 }
 
-// takeIdle takes the session out of the link if it was not used since the last look.
-func (l *link) takeIdle() *session {
+// detachIdle removes and returns the link's session if it was not used since the last
+// check. It returns nil otherwise.
+func (l *link) detachIdle() *session {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.session
--- a/peer/link.go
+++ b/peer/link.go
@@ -13,61 +13,62 @@
 	"leverdrum/wire"
 )
 
-// link is the way to one box: its session, made when it is needed. Whoever needs one
-// that is being made waits for it no longer than its own time.
+// link is the connection to one box. Its session is created on demand. A caller that needs
+// a session while it is being created waits no longer than its own context allows.
 type link struct {
-	mu      sync.Mutex
-	session *session
-	address string
-	failed  time.Time // when the last attempt failed, and by what
-	err     error
-	made    chan struct{} // closed when the attempt under way has ended; nil: there is none
+	mu       sync.Mutex
+	session  *session
+	address  string
+	failedAt time.Time // time of the last dial if it failed; err is its error
+	err      error
+	dialing  chan struct{} // closed when the current dial ends; nil if none is in progress
 }
 
 // session is a yamux session to a box.
 type session struct {
 	*yamux.Session
-	conn   *watchedConn
-	waits  *waits
+	conn   *monitoredConn
+	reads  *pendingReads
 	remote *wire.Member
-	used   atomic.Bool // since the last look, see idle.go
+	used   atomic.Bool // since the last idle check, see idle.go
 }
 
-// Close ends what waits on the session's streams, and then the session.
+// Close stops the pending reads on the session's streams before it closes the session.
 func (s *session) Close() error {
-	s.waits.end()
+	s.reads.stop()
 	return s.Session.Close()
 }
 
-// watchedConn notes since when something that was asked has brought nothing back, and how
-// much has come. A stream would tell less: yamux hands a frame of up to 256 KiB on when it
-// is whole.
-type watchedConn struct {
+// monitoredConn records how long a request has gone without any bytes in return, and how
+// many bytes were received. A stream would show less: yamux delivers a frame, which may
+// have up to 256 KiB, only when it is complete.
+type monitoredConn struct {
 	net.Conn
-	waits atomic.Int64 // unix nanoseconds; 0: nothing was asked since bytes came
-	got   atomic.Int64 // bytes
+	awaitingSince atomic.Int64 // Unix time in nanoseconds of the oldest request since bytes last arrived; 0 if none
+	received      atomic.Int64 // bytes
 }
 
-func (c *watchedConn) Read(b []byte) (int, error) {
+func (c *monitoredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.waits.Store(0)
-		c.got.Add(int64(n))
+		c.awaitingSince.Store(0)
+		c.received.Add(int64(n))
 	}
 	return n, err
 }
 
-// asked notes that something is asked.
-func (s *session) asked() { s.conn.waits.CompareAndSwap(0, time.Now().UnixNano()) }
+// recordRequest marks the session as awaiting bytes, unless it already is.
+func (s *session) recordRequest() { s.conn.awaitingSince.CompareAndSwap(0, time.Now().UnixNano()) }
 
-// silent reports whether nothing has come back for too long.
-func (s *session) silent() bool {
-	waits := s.conn.waits.Load()
-	return waits != 0 && time.Now().UnixNano()-waits >= int64(UnresponsiveTimeout)
+// unresponsive reports whether no bytes have arrived for UnresponsiveTimeout while a
+// request was outstanding.
+func (s *session) unresponsive() bool {
+	since := s.conn.awaitingSince.Load()
+	return since != 0 && time.Now().UnixNano()-since >= int64(UnresponsiveTimeout)
 }
 
-// exchange asks on a stream of its own. It may go on for writeTimeout after the context
-// has ended: yamux writes cannot be ended sooner.
+// exchange sends a request on its own stream and reads the response. It may run for up to
+// writeTimeout after the context ends, because yamux writes cannot be canceled sooner.
 func (s *session) exchange(ctx context.Context, r *wire.Request) (*wire.Response, error) {
 	stream, err := s.OpenStream()
 	if err != nil {
@@ -80,10 +81,11 @@
 		return nil, err
 	}
 	response := &wire.Response{}
-	return response, readOnly(s.waits.reader(stream), maxFrame, response)
+	return response, readSingleFrame(s.reads.reader(stream), maxFrame, response)
 }
 
-// drop ends a session, unless another has taken its place.
+// drop closes a session and detaches it from the link, unless the link already has
+// another.
 func (l *link) drop(s *session) {
 	l.mu.Lock()
 	if l.session == s {
@@ -93,8 +95,8 @@
 	s.Close()
 }
 
-// dropAny ends the link's session, if it has one.
-func (l *link) dropAny() {
+// dropCurrent closes the link's session, if any.
+func (l *link) dropCurrent() {
 	l.mu.Lock()
 	s := l.session
 	l.session = nil
@@ -104,24 +106,25 @@
 	}
 }
 
-// session returns the session to a box, and waits while it is being made.
+// session returns the session to a box. It waits if the session is being created.
 func (p *Pool) session(ctx context.Context, box string, l *link) (*session, error) {
 	for {
-		s, made, err := p.current(box, l)
+		s, dialing, err := p.sessionOrDial(box, l)
 		if s != nil || err != nil {
 			return s, err
 		}
 		select {
-		case <-made:
+		case <-dialing:
 		case <-ctx.Done():
 			return nil, Error.Wrap(ctx.Err())
 		}
 	}
 }
 
-// current returns the link's session, or why there is none, or what is closed when the
-// attempt to make one has ended.
-func (p *Pool) current(box string, l *link) (*session, <-chan struct{}, error) {
+// sessionOrDial returns the link's session or an error. If a dial is in progress, which
+// sessionOrDial starts if necessary, it returns a channel that is closed when the dial
+// ends.
+func (p *Pool) sessionOrDial(box string, l *link) (*session, <-chan struct{}, error) {
 	address := p.lookup(box)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,25 +132,25 @@
 	case l.session != nil && !l.session.IsClosed() && l.address == address:
 		l.session.used.Store(true)
 		return l.session, nil, nil
-	case l.made != nil:
-		return nil, l.made, nil
+	case l.dialing != nil:
+		return nil, l.dialing, nil
 	case address == "":
-		return nil, nil, Error.New("no address of box %s is known", box)
-	case l.address == address && time.Since(l.failed) < redialPause:
+		return nil, nil, Error.New("address of box %s is unknown", box)
+	case l.address == address && time.Since(l.failedAt) < redialDelay:
 		return nil, nil, l.err
 	}
 	old := l.session
 	l.session, l.address = nil, address
-	made := make(chan struct{})
-	l.made = made
+	dialing := make(chan struct{})
+	l.dialing = dialing
 	err := p.spawn(func() { p.dial(box, address, l, old) })
 	if err != nil {
-		l.made = nil
+		l.dialing = nil
 	}
-	return nil, made, err
+	return nil, dialing, err
 }
 
-// spawn runs a goroutine that Close waits for.
+// spawn starts a goroutine that Close waits for.
 func (p *Pool) spawn(f func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,7 +161,7 @@
 	return nil
 }
 
-// dial makes a session in the place of an old one, if there was one.
+// dial creates the link's session, closing the old one first if there was one.
 func (p *Pool) dial(box, address string, l *link, old *session) {
 	if old != nil {
 		old.Close()
@@ -166,58 +169,58 @@
 	s, err := p.connect(p.ctx, box, address)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.made)
-	l.made = nil
+	close(l.dialing)
+	l.dialing = nil
 	if err != nil {
-		l.failed, l.err = time.Now(), err
+		l.failedAt, l.err = time.Now(), err
 		return
 	}
-	l.failed = time.Time{}
+	l.failedAt = time.Time{}
 	l.session = s
 }
 
 func (p *Pool) connect(ctx context.Context, box, address string) (*session, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	raw, err := p.open(ctx, address)
+	raw, err := p.dialTCP(ctx, address)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	watched := &watchedConn{Conn: raw}
-	c, err := secure(ctx, &countedConn{watched, p.meters}, p.tls.Client(box), false)
+	monitored := &monitoredConn{Conn: raw}
+	c, err := startTLS(ctx, &countedConn{monitored, p.meters}, p.tls.Client(box), false)
 	if err != nil {
 		raw.Close()
 		p.meters.Refuse(reason.PeerTLS)
 		return nil, err
 	}
-	waits := newWaits()
-	y, err := yamux.Client(&endingConn{c, waits}, sessionConfig())
+	reads := newPendingReads()
+	y, err := yamux.Client(&readStoppingConn{c, reads}, sessionConfig())
 	if err != nil {
 		raw.Close()
 		return nil, Error.Wrap(err)
 	}
-	remote, err := p.greet(c, y)
+	remote, err := p.exchangeHello(c, y)
 	if err != nil {
 		y.Close()
 		return nil, err
 	}
-	return &session{Session: y, conn: watched, waits: waits, remote: remote}, nil
+	return &session{Session: y, conn: monitored, reads: reads, remote: remote}, nil
 }
 
-// dialTimeout bounds the opening of a connection. What is sent to a machine that is just
-// coming up is lost, and is repeated by the system only after a second: another attempt
-// finds it sooner.
+// dialTimeout bounds the TCP connect. Packets sent to a machine that is just starting are
+// lost, and the system retransmits them only after a second: a new dial gets through
+// sooner.
 const dialTimeout = 400 * time.Millisecond
 
-func (p *Pool) open(ctx context.Context, address string) (net.Conn, error) {
+func (p *Pool) dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return p.dialer.DialContext(ctx, "tcp", address)
 }
 
-func (p *Pool) greet(c net.Conn, y *yamux.Session) (*wire.Member, error) {
+func (p *Pool) exchangeHello(c net.Conn, y *yamux.Session) (*wire.Member, error) {
 	stream, err := y.OpenStream()
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -227,15 +230,15 @@
 		return nil, err
 	}
 	theirs := &wire.Hello{}
-	if err := readOnly(stream, maxHello, theirs); err != nil {
+	if err := readSingleFrame(stream, maxHello, theirs); err != nil {
 		return nil, err
 	}
 	if r := theirs.Refusal; r != nil {
 		return nil, &RefusedError{r.Code, r.Text}
 	}
-	if r := judge(p.id, theirs, certifiedName(c)); r != nil {
+	if r := checkHello(p.id, theirs, certifiedName(c)); r != nil {
 		p.meters.Refuse(r)
 		return nil, &RefusedError{r.Code, r.Title}
 	}
-	return theirs.Self, adopt(p.id, theirs)
+	return theirs.Self, adoptClusterID(p.id, theirs)
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,9 +1,9 @@
-// Package peer carries messages between the boxes of a cluster: protobuf frames
-// on yamux streams over TCP or TLS.
+// Package peer transports messages between the boxes of a cluster as protobuf frames on yamux
+// streams over TCP or TLS.
 //
-// Each box dials the boxes that it asks something of and keeps that session;
-// the other side only answers on it. A session begins with a Hello in each
-// direction, in which either side may refuse the other.
+// A box dials every box that it sends requests to and keeps the session; the dialed side only
+// responds on it. A session starts with an exchange of Hellos, in which either side may refuse
+// the other.
 package peer
 
 import (
@@ -25,58 +25,59 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("peer")
 
-// Version is the protocol that this build speaks.
+// Version is the protocol version of this build.
 const Version = 1
 
 const (
-	// maxFrame bounds a frame, in bytes; a whole state of the long-run size
-	// takes under 4 MiB.
+	// maxFrame is the maximum frame size in bytes. The whole state at the size of the long-run
+	// test takes less than 4 MiB.
 	maxFrame = 32 << 20
-	// maxHello bounds a Hello, in bytes.
+	// maxHello is the maximum size of a Hello in bytes.
 	maxHello = 64 << 10
-	// handshakeTimeout bounds dialling, TLS and Hello together.
+	// handshakeTimeout bounds the TCP connect, TLS handshake and Hello exchange together.
 	handshakeTimeout = 2 * time.Second
-	// writeTimeout is how long a session may not take a byte.
+	// writeTimeout is how long a session may block without accepting a byte.
 	writeTimeout = 3 * time.Second
-	// keepAlive is the time between two looks whether a session still works.
-	keepAlive = 5 * time.Second
+	// keepAliveInterval is the time between two checks that a session still works.
+	keepAliveInterval = 5 * time.Second
 )
 
-// UnresponsiveTimeout is how long nothing may come back on a session that something was asked
-// on, before a call that waited in vain ends it.
+// UnresponsiveTimeout is how long a session with an outstanding request may receive no
+// bytes. After that, a call that is canceled or times out also closes the session.
 const UnresponsiveTimeout = time.Second
 
-// Identity is who this box is to others.
+// Identity describes this box to its peers.
 type Identity interface {
-	// Self returns the member; it may change its address fields only.
+	// Self returns this box's member. Only its address fields may change.
 	Self() *wire.Member
-	// Cluster returns the cluster's name and id; the id is "" while new.
+	// Cluster returns the cluster's name and ID. The ID is empty until the box belongs to a
+	// formed cluster.
 	Cluster() (name, id string)
-	// Adopt takes over the cluster id of a formed peer when this box has none.
+	// Adopt sets the cluster ID reported by a peer of a formed cluster, if this box has none.
 	Adopt(id string) error
-	// Level returns the level in force, as far as the box knows.
+	// Level returns the active level of the cluster, as far as this box knows.
 	Level() level.Level
 }
 
-// TLS gives the configuration for a new connection, nil for plain text.
+// TLS provides the configuration for a new connection, or nil for plaintext.
 type TLS interface {
 	Server() *tls.Config
 	Client(box string) *tls.Config
 }
 
-// Plaintext is TLS switched off.
+// Plaintext is a TLS implementation that disables TLS.
 type Plaintext struct{}
 
-// Server returns nil.
+// Server returns nil, which disables TLS on accepted connections.
 func (Plaintext) Server() *tls.Config { return nil }
 
-// Client returns nil.
+// Client returns nil, which disables TLS on dialed connections.
 func (Plaintext) Client(string) *tls.Config { return nil }
 
-// RefusedError says why a peer turned this box away.
+// RefusedError reports why a peer refused a session or a request.
 type RefusedError struct{ Code, Text string }
 
-// Error returns code and text.
+// Error implements error.
 func (e *RefusedError) Error() string { return e.Code + ": " + e.Text }
 
 func refusal(r *reason.Reason) *wire.Refusal { return &wire.Refusal{Code: r.Code, Text: r.Title} }
@@ -85,13 +86,13 @@
 	c := yamux.DefaultConfig()
 	c.LogOutput = io.Discard
 	c.ConnectionWriteTimeout = writeTimeout
-	c.KeepAliveInterval = keepAlive
+	c.KeepAliveInterval = keepAliveInterval
 	c.StreamOpenTimeout = writeTimeout
 	c.StreamCloseTimeout = writeTimeout
 	return c
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn adds the bytes of a connection to the metrics.
 type countedConn struct {
 	net.Conn
 	meters *meter.Meters
@@ -114,8 +115,8 @@
 	return &wire.Hello{Version: Version, Cluster: name, ClusterId: clusterID, Self: id.Self(), Level: uint32(id.Level())}
 }
 
-// judge says why a peer is turned away, nil when it is welcome.
-func judge(id Identity, h *wire.Hello, certified string) *reason.Reason {
+// checkHello returns the reason to refuse a peer, or nil to accept it.
+func checkHello(id Identity, h *wire.Hello, certified string) *reason.Reason {
 	name, clusterID := id.Cluster()
 	switch {
 	case h.Version != Version:
@@ -136,8 +137,8 @@
 	return nil
 }
 
-// certifiedName returns the box name in the other side's certificate, "" in
-// plain text.
+// certifiedName returns the common name in the peer's certificate, which is its box name,
+// or "" for plaintext.
 func certifiedName(c net.Conn) string {
 	t, ok := c.(*tls.Conn)
 	if !ok {
@@ -150,8 +151,8 @@
 	return certs[0].Subject.CommonName
 }
 
-// secure runs the TLS handshake, if TLS is on.
-func secure(ctx context.Context, c net.Conn, config *tls.Config, server bool) (net.Conn, error) {
+// startTLS performs the TLS handshake if TLS is enabled.
+func startTLS(ctx context.Context, c net.Conn, config *tls.Config, server bool) (net.Conn, error) {
 	if config == nil {
 		return c, nil
 	}
@@ -165,9 +166,9 @@
 	return t, nil
 }
 
-var errTLS = errors.New("the TLS handshake failed")
+var errTLS = errors.New("TLS handshake failed")
 
-func adopt(id Identity, h *wire.Hello) error {
+func adoptClusterID(id Identity, h *wire.Hello) error {
 	if _, own := id.Cluster(); own != "" || h.ClusterId == "" {
 		return nil
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -32,30 +32,30 @@
 	RunSpecs(t, "box-to-box sessions")
 }
 
-// who is a fixed identity.
-type who struct {
+// fixedIdentity is a constant identity.
+type fixedIdentity struct {
 	box, cluster, id string
 	adopted          string
 	level            level.Level
 }
 
-func (w *who) Self() *wire.Member { return &wire.Member{Box: w.box, Incarnation: "i"} }
-func (w *who) Cluster() (string, string) {
+func (w *fixedIdentity) Self() *wire.Member { return &wire.Member{Box: w.box, Incarnation: "i"} }
+func (w *fixedIdentity) Cluster() (string, string) {
 	return w.cluster, w.id
 }
-func (w *who) Level() level.Level    { return w.level }
-func (w *who) Adopt(id string) error { w.adopted = id; return nil }
+func (w *fixedIdentity) Level() level.Level    { return w.level }
+func (w *fixedIdentity) Adopt(id string) error { w.adopted = id; return nil }
 
-// echo answers probes and notes messages.
-type echo struct{ got chan *wire.Message }
+// echoHandler responds to probes and records messages.
+type echoHandler struct{ received chan *wire.Message }
 
-func (e *echo) Answer(_ context.Context, from *wire.Member, r *wire.Request) *wire.Response {
+func (e *echoHandler) Answer(_ context.Context, from *wire.Member, r *wire.Request) *wire.Response {
 	if r.GetProbe() == nil {
 		return nil
 	}
 	return &wire.Response{Kind: &wire.Response_Probe{Probe: &wire.ProbeAnswer{Member: from.Box}}}
 }
-func (e *echo) Receive(m *wire.Message) { e.got <- m }
+func (e *echoHandler) Receive(m *wire.Message) { e.received <- m }
 
 var probe = &wire.Request{Kind: &wire.Request_Probe{Probe: &wire.Probe{}}}
 
@@ -69,7 +69,7 @@
 	return &authority{a}
 }
 
-// issue writes the files of a box and opens them.
+// issue writes the certificate files of a box and opens them.
 func (a *authority) issue(name string) *certs.Source {
 	GinkgoHelper()
 	s, err := certs.Open(a.write(GinkgoT().TempDir(), name), zap.NewNop())
@@ -87,12 +87,12 @@
 var _ = Describe("a box", func() {
 	var (
 		meters  *meter.Meters
-		handler *echo
-		server  *who
+		handler *echoHandler
+		server  *fixedIdentity
 	)
 	BeforeEach(func() {
-		meters, handler = meter.New(), &echo{make(chan *wire.Message, 10)}
-		server = &who{box: "one", cluster: "c", id: "x"}
+		meters, handler = meter.New(), &echoHandler{make(chan *wire.Message, 10)}
+		server = &fixedIdentity{box: "one", cluster: "c", id: "x"}
 	})
 
 	listen := func(t peer.TLS) string {
@@ -103,45 +103,45 @@
 		DeferCleanup(s.Close)
 		return l.Addr().String()
 	}
-	call := func(address string, id *who, t peer.TLS) (*wire.Response, error) {
+	call := func(address string, id *fixedIdentity, t peer.TLS) (*wire.Response, error) {
 		p := peer.NewPool(id, t, "", func(string) string { return address }, meter.New())
 		defer p.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		return p.Call(ctx, "one", probe)
 	}
-	refused := func(r *reason.Reason) func() float64 {
+	refusals := func(r *reason.Reason) func() float64 {
 		return func() float64 { return testutil.ToFloat64(meters.Count(meter.Refusals, r.Code)) }
 	}
 
-	It("answers a box of its cluster", func() {
-		r, err := call(listen(peer.Plaintext{}), &who{box: "two", cluster: "c", id: "x"}, peer.Plaintext{})
+	It("responds to a box of its cluster", func() {
+		r, err := call(listen(peer.Plaintext{}), &fixedIdentity{box: "two", cluster: "c", id: "x"}, peer.Plaintext{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.GetProbe().Member).To(Equal("two"))
 	})
 
-	It("lets a new box take over the cluster's id", func() {
-		id := &who{box: "two", cluster: "c"}
+	It("gives a new box the ID of the cluster", func() {
+		id := &fixedIdentity{box: "two", cluster: "c"}
 		_, err := call(listen(peer.Plaintext{}), id, peer.Plaintext{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(id.adopted).To(Equal("x"))
 	})
 
-	DescribeTable("turns away, with a reason and a count",
-		func(id *who, why *reason.Reason) {
+	DescribeTable("refuses and counts with a reason",
+		func(id *fixedIdentity, want *reason.Reason) {
 			_, err := call(listen(peer.Plaintext{}), id, peer.Plaintext{})
 			var r *peer.RefusedError
 			Expect(err).To(BeAssignableToTypeOf(r))
-			Expect(err.(*peer.RefusedError).Code).To(Equal(why.Code))
-			Expect(refused(why)()).To(BeEquivalentTo(1))
-			Expect(server.adopted).To(BeEmpty(), "a refused peer changes nothing")
+			Expect(err.(*peer.RefusedError).Code).To(Equal(want.Code))
+			Expect(refusals(want)()).To(BeEquivalentTo(1))
+			Expect(server.adopted).To(BeEmpty(), "a refused peer must not set the cluster ID")
 		},
-		Entry("a box of another cluster by name", &who{box: "two", cluster: "d", id: "x"}, reason.PeerCluster),
-		Entry("a box of another cluster by id", &who{box: "two", cluster: "c", id: "y"}, reason.PeerCluster),
-		Entry("a box without a name", &who{box: "", cluster: "c", id: "x"}, reason.PeerMalformed),
+		Entry("a box of another cluster by name", &fixedIdentity{box: "two", cluster: "d", id: "x"}, reason.PeerCluster),
+		Entry("a box of another cluster by id", &fixedIdentity{box: "two", cluster: "c", id: "y"}, reason.PeerCluster),
+		Entry("a box without a name", &fixedIdentity{box: "", cluster: "c", id: "x"}, reason.PeerMalformed),
 	)
 
-	// raw opens a stream and writes bytes of the test's choice.
+	// raw opens a yamux session and passes it to write, which sends arbitrary bytes.
 	raw := func(address string, write func(y *yamux.Session)) {
 		GinkgoHelper()
 		c, err := net.Dial("tcp", address)
@@ -151,7 +151,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		write(y)
 	}
-	greet := func(y *yamux.Session, version uint32) *wire.Hello {
+	exchangeHello := func(y *yamux.Session, version uint32) *wire.Hello {
 		GinkgoHelper()
 		s, err := y.OpenStream()
 		Expect(err).NotTo(HaveOccurred())
@@ -161,8 +161,8 @@
 		Expect(protodelim.UnmarshalFrom(bufio.NewReader(s), h)).To(Succeed())
 		return h
 	}
-	// send writes until it is cut off: the other side may hang up as soon as it
-	// has read enough, and the writer's yamux may see that before its own success.
+	// send writes until a write fails: the receiver closes the session once it has read
+	// enough, and the sender's yamux may see that before its write succeeds.
 	send := func(y *yamux.Session, data ...[]byte) {
 		GinkgoHelper()
 		s, err := y.OpenStream()
@@ -179,94 +179,94 @@
 		return append([]byte{byte(len(b))}, b...)
 	}
 
-	It("turns away another version of the protocol", func() {
+	It("refuses another protocol version", func() {
 		raw(listen(peer.Plaintext{}), func(y *yamux.Session) {
-			Expect(greet(y, 99).Refusal.GetCode()).To(Equal(reason.PeerVersion.Code))
+			Expect(exchangeHello(y, 99).Refusal.GetCode()).To(Equal(reason.PeerVersion.Code))
 		})
 	})
 
-	It("turns away a build that does not know the level in force, by its reason", func() {
+	It("refuses a build that does not support the active level, with the reason", func() {
 		server.level = level.Newest
 		DeferCleanup(func() { server.level = level.First })
 		raw(listen(peer.Plaintext{}), func(y *yamux.Session) {
-			Expect(greet(y, peer.Version).Refusal.GetCode()).To(Equal(reason.PeerLevel.Code))
+			Expect(exchangeHello(y, peer.Version).Refusal.GetCode()).To(Equal(reason.PeerLevel.Code))
 		})
 	})
 
-	// Ending it at once lost the refusal in 15 of 360 runs: the refused box saw
-	// only the end of the session.
-	It("leaves the end of a refused session to the other side, and ends it if that side does not", func() {
+	// Closing a refused session at once lost the refusal in 15 of 360 runs: the refused box
+	// saw only the end of the session.
+	It("leaves closing a refused session to the peer, and closes it if the peer does not", func() {
 		raw(listen(peer.Plaintext{}), func(y *yamux.Session) {
-			greet(y, 99)
+			exchangeHello(y, 99)
 			Consistently(y.IsClosed, "100ms").Should(BeFalse())
 			Eventually(y.IsClosed, "10s").Should(BeTrue())
 		})
 	})
 
-	DescribeTable("counts frames that cannot be read, and stays up",
-		func(write func(y *yamux.Session), why *reason.Reason) {
+	DescribeTable("counts unreadable frames and keeps running",
+		func(write func(y *yamux.Session), want *reason.Reason) {
 			address := listen(peer.Plaintext{})
 			raw(address, write)
-			Eventually(refused(why)).Should(BeEquivalentTo(1))
-			_, err := call(address, &who{box: "three", cluster: "c", id: "x"}, peer.Plaintext{})
+			Eventually(refusals(want)).Should(BeEquivalentTo(1))
+			_, err := call(address, &fixedIdentity{box: "three", cluster: "c", id: "x"}, peer.Plaintext{})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(handler.got).To(BeEmpty())
+			Expect(handler.received).To(BeEmpty())
 		},
-		Entry("bytes that are no Hello", func(y *yamux.Session) { send(y, []byte{3, 0xff, 0xff, 0xff}) }, reason.PeerMalformed),
+		Entry("bytes that are not a Hello", func(y *yamux.Session) { send(y, []byte{3, 0xff, 0xff, 0xff}) }, reason.PeerMalformed),
 		Entry("a Hello that is too large", func(y *yamux.Session) { send(y, []byte{0xff, 0xff, 0xff, 0x7f}) }, reason.PeerMalformed),
 		Entry("a request that is too large", func(y *yamux.Session) {
-			greet(y, peer.Version)
+			exchangeHello(y, peer.Version)
 			send(y, []byte{0xff, 0xff, 0xff, 0xff, 0x7f})
 		}, reason.PeerMalformed),
 		Entry("a request of an unknown kind", func(y *yamux.Session) {
-			greet(y, peer.Version)
+			exchangeHello(y, peer.Version)
 			send(y, []byte{0})
 		}, reason.PeerUnknown),
-		Entry("a message in another member's name", func(y *yamux.Session) {
-			greet(y, peer.Version)
+		Entry("a message sent as another member", func(y *yamux.Session) {
+			exchangeHello(y, peer.Version)
 			send(y, frame(&wire.Request{Kind: &wire.Request_Consensus{Consensus: &wire.ConsensusStream{}}}), frame(&wire.Message{From: "one/i", Term: 9}))
 		}, reason.PeerMalformed),
 	)
 
-	It("survives a connection that speaks something else", func() {
+	It("survives a connection with another protocol", func() {
 		address := listen(peer.Plaintext{})
 		c, err := net.Dial("tcp", address)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(refused(reason.PeerMalformed)).Should(BeEquivalentTo(1))
+		Eventually(refusals(reason.PeerMalformed)).Should(BeEquivalentTo(1))
 	})
 
 	Context("with TLS", func() {
-		var home *authority
-		BeforeEach(func() { home = newAuthority() })
+		var ca *authority
+		BeforeEach(func() { ca = newAuthority() })
 
-		It("answers a box whose certificate carries its name", func() {
-			_, err := call(listen(home.issue("one")), &who{box: "two", cluster: "c", id: "x"}, home.issue("two"))
+		It("responds to a box whose certificate has its name", func() {
+			_, err := call(listen(ca.issue("one")), &fixedIdentity{box: "two", cluster: "c", id: "x"}, ca.issue("two"))
 			Expect(err).NotTo(HaveOccurred())
 		})
-		It("turns away a box by another name than its certificate's", func() {
-			_, err := call(listen(home.issue("one")), &who{box: "two", cluster: "c", id: "x"}, home.issue("three"))
+		It("refuses a box whose certificate has another name", func() {
+			_, err := call(listen(ca.issue("one")), &fixedIdentity{box: "two", cluster: "c", id: "x"}, ca.issue("three"))
 			Expect(err).To(MatchError(ContainSubstring(reason.PeerName.Code)))
 		})
-		It("turns away a certificate of another authority", func() {
-			address := listen(home.issue("one"))
-			_, err := call(address, &who{box: "two", cluster: "c", id: "x"}, newAuthority().issue("two"))
+		It("refuses a certificate of another authority", func() {
+			address := listen(ca.issue("one"))
+			_, err := call(address, &fixedIdentity{box: "two", cluster: "c", id: "x"}, newAuthority().issue("two"))
 			Expect(err).To(HaveOccurred())
-			Eventually(refused(reason.PeerTLS)).Should(BeEquivalentTo(1))
+			Eventually(refusals(reason.PeerTLS)).Should(BeEquivalentTo(1))
 		})
-		It("turns away plain text", func() {
-			_, err := call(listen(home.issue("one")), &who{box: "two", cluster: "c", id: "x"}, peer.Plaintext{})
+		It("refuses plaintext", func() {
+			_, err := call(listen(ca.issue("one")), &fixedIdentity{box: "two", cluster: "c", id: "x"}, peer.Plaintext{})
 			Expect(err).To(HaveOccurred())
-			Eventually(refused(reason.PeerTLS)).Should(BeEquivalentTo(1))
+			Eventually(refusals(reason.PeerTLS)).Should(BeEquivalentTo(1))
 		})
-		It("does not talk to a box by another name than the one it dialled", func() {
-			_, err := call(listen(home.issue("four")), &who{box: "two", cluster: "c", id: "x"}, home.issue("two"))
+		It("does not call a box with another name than the one it dialed", func() {
+			_, err := call(listen(ca.issue("four")), &fixedIdentity{box: "two", cluster: "c", id: "x"}, ca.issue("two"))
 			Expect(err).To(MatchError(ContainSubstring("certificate")))
 		})
-		It("takes over new files without a restart, and keeps the old ones if they are bad", func() {
+		It("reloads certificate files without a restart and keeps the old ones if the new ones are invalid", func() {
 			folder := GinkgoT().TempDir()
-			files := home.write(folder, "one")
+			files := ca.write(folder, "one")
 			s, err := certs.Open(files, zap.NewNop())
 			Expect(err).NotTo(HaveOccurred())
 			serial := func() string {
@@ -280,30 +280,30 @@
 			Expect(os.Chtimes(files.Key, later, later)).To(Succeed())
 			s.Reload()
 			Expect(serial()).To(Equal(before))
-			home.write(folder, "one")
+			ca.write(folder, "one")
 			s.Reload()
 			Expect(serial()).NotTo(Equal(before))
 		})
 	})
 })
 
-// FuzzStream feeds a session's stream with any bytes: the box must stay up, and
-// take no message of the agreement from them but in the sender's own name.
+// FuzzStream writes arbitrary bytes to a stream of a session. The box must keep running
+// and accept consensus messages only from the member that opened the session.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte{0})
 	f.Add([]byte{2, 0x0a, 0})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
-	handler := &echo{make(chan *wire.Message, 1<<16)}
+	handler := &echoHandler{make(chan *wire.Message, 1<<16)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
 	}
-	s := peer.Serve(l, &who{box: "one", cluster: "c", id: "x"}, peer.Plaintext{}, handler, meter.New())
+	s := peer.Serve(l, &fixedIdentity{box: "one", cluster: "c", id: "x"}, peer.Plaintext{}, handler, meter.New())
 	f.Cleanup(s.Close)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for len(handler.got) > 0 { // from inputs before this one
-			if m := <-handler.got; m.From != "two/i" {
-				t.Fatalf("a message in the name of %q was taken", m.From)
+		for len(handler.received) > 0 { // from previous inputs
+			if m := <-handler.received; m.From != "two/i" {
+				t.Fatalf("a message from %q was accepted, want only messages from \"two/i\"", m.From)
 			}
 		}
 		c, err := net.Dial("tcp", l.Addr().String())
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// redialPause is the least time between two attempts at one box.
-	redialPause = 100 * time.Millisecond
-	// queueLength bounds the messages that wait for one box; later ones are
-	// dropped, as on a network.
-	queueLength = 512
+	// redialDelay is the minimum time between a failed dial and the next one to the same
+	// address.
+	redialDelay = 100 * time.Millisecond
+	// sendQueueLength bounds the messages queued for one box. Further messages are dropped, as
+	// a network may do.
+	sendQueueLength = 512
 )
 
-// Pool holds the sessions to other boxes.
+// Pool manages the sessions to other boxes.
 type Pool struct {
 	id     Identity
 	tls    TLS
@@ -32,53 +33,53 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	links   map[string]*link
-	senders map[string]chan *wire.Message
+	mu         sync.Mutex
+	links      map[string]*link
+	sendQueues map[string]chan *wire.Message
 }
 
-// NewPool returns a pool that calls from the IP number of own, an address, and
-// finds addresses by lookup, which returns "" for boxes that are not known.
-func NewPool(id Identity, t TLS, own string, lookup func(box string) string, m *meter.Meters) *Pool {
+// NewPool returns a pool that dials from the IP address in localAddress (host:port).
+// lookup returns the address of a box, or "" if it is unknown.
+func NewPool(id Identity, t TLS, localAddress string, lookup func(box string) string, m *meter.Meters) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Pool{
-		id: id, tls: t, lookup: lookup, dialer: dialerFrom(own), meters: m, ctx: ctx, cancel: cancel,
-		links: map[string]*link{}, senders: map[string]chan *wire.Message{},
+		id: id, tls: t, lookup: lookup, dialer: dialerFrom(localAddress), meters: m, ctx: ctx, cancel: cancel,
+		links: map[string]*link{}, sendQueues: map[string]chan *wire.Message{},
 	}
 	p.wg.Go(p.closeIdle)
 	return p
 }
 
-// dialerFrom calls from the address's IP number, so that a machine with several
-// is known by one of them.
-func dialerFrom(own string) net.Dialer {
-	a, err := netip.ParseAddrPort(own)
+// dialerFrom returns a dialer bound to the IP address in localAddress, so that a machine
+// with several addresses always uses the same one.
+func dialerFrom(localAddress string) net.Dialer {
+	a, err := netip.ParseAddrPort(localAddress)
 	if err != nil || a.Addr().IsUnspecified() {
 		return net.Dialer{}
 	}
 	return net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(a.Addr(), 0))}
 }
 
-// Close ends all sessions.
+// Close closes all sessions.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.cancel()
 	p.mu.Unlock()
 	links := p.allLinks()
 	for _, l := range links {
-		l.dropAny()
+		l.dropCurrent()
 	}
 	p.wg.Wait()
 	for _, l := range links {
-		l.dropAny() // what was made meanwhile
+		l.dropCurrent() // sessions created in the meantime
 	}
 }
 
-// OpenSession opens a new session to a box, so that both say again who they are, and
-// returns who answered.
+// OpenSession replaces the session to a box by a new one, so that both sides exchange
+// their identities again. It returns the member that responded.
 func (p *Pool) OpenSession(ctx context.Context, box string) (*wire.Member, error) {
 	l := p.link(box)
-	l.dropAny()
+	l.dropCurrent()
 	s, err := p.session(ctx, box, l)
 	if err != nil {
 		return nil, err
--- a/peer/push.go
+++ b/peer/send.go
@@ -10,29 +10,30 @@
 	"leverdrum/wire"
 )
 
-// Send queues a message of the agreement for the box of the member it is for.
+// Send queues a consensus message for the box of its recipient. It drops the message if
+// the queue is full.
 func (p *Pool) Send(m *wire.Message) {
 	select {
-	case p.sender(wire.BoxOf(m.To)) <- m:
+	case p.sendQueue(wire.BoxOf(m.To)) <- m:
 	default:
 	}
 }
 
-func (p *Pool) sender(box string) chan *wire.Message {
+func (p *Pool) sendQueue(box string) chan *wire.Message {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	queue := p.senders[box]
+	queue := p.sendQueues[box]
 	if queue == nil {
-		queue = make(chan *wire.Message, queueLength)
-		p.senders[box] = queue
-		p.wg.Go(func() { p.pump(box, queue) })
+		queue = make(chan *wire.Message, sendQueueLength)
+		p.sendQueues[box] = queue
+		p.wg.Go(func() { p.sendLoop(box, queue) })
 	}
 	return queue
 }
 
-// pump writes the queue of one box to a stream, and opens a new one after a
-// failure. What is queued meanwhile is lost.
-func (p *Pool) pump(box string, queue chan *wire.Message) {
+// sendLoop writes the queued messages for one box to a stream and opens a new stream after
+// a failure. Messages taken from the queue while no stream can be opened are lost.
+func (p *Pool) sendLoop(box string, queue chan *wire.Message) {
 	var stream *yamux.Stream
 	defer func() {
 		if stream != nil {
@@ -44,14 +45,14 @@
 		case <-p.ctx.Done():
 			return
 		case m := <-queue:
-			stream = p.push(box, stream, m)
+			stream = p.sendOn(box, stream, m)
 		}
 	}
 }
 
-func (p *Pool) push(box string, stream *yamux.Stream, m *wire.Message) *yamux.Stream {
+func (p *Pool) sendOn(box string, stream *yamux.Stream, m *wire.Message) *yamux.Stream {
 	if stream == nil {
-		stream = p.openPush(box)
+		stream = p.openSendStream(box)
 		if stream == nil {
 			return nil
 		}
@@ -59,14 +60,14 @@
 	stream.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err := writeFrame(stream, m); err != nil {
 		stream.Close()
-		p.link(box).dropAny()
+		p.link(box).dropCurrent()
 		return nil
 	}
 	p.meters.Count(meter.PeerCalls, "out").Inc()
 	return stream
 }
 
-func (p *Pool) openPush(box string) *yamux.Stream {
+func (p *Pool) openSendStream(box string) *yamux.Stream {
 	ctx, cancel := context.WithTimeout(p.ctx, handshakeTimeout)
 	defer cancel()
 	l := p.link(box)
--- a/peer/server.go
+++ b/peer/server.go
@@ -15,16 +15,16 @@
 	"leverdrum/wire"
 )
 
-// Handler answers other boxes.
+// Handler processes requests and messages from other boxes.
 type Handler interface {
-	// Answer returns the one answer to a request. A nil answer means that the
-	// kind of request is unknown.
+	// Answer returns the only response to a request. A nil response means that the kind of
+	// request is unknown.
 	Answer(ctx context.Context, from *wire.Member, r *wire.Request) *wire.Response
-	// Receive takes a message of the agreement.
+	// Receive processes a consensus message.
 	Receive(m *wire.Message)
 }
 
-// Server accepts the sessions of other boxes.
+// Server accepts sessions from other boxes.
 type Server struct {
 	id       Identity
 	tls      TLS
@@ -36,7 +36,7 @@
 	wg       sync.WaitGroup
 }
 
-// Serve starts to accept on the listener, until Close.
+// Serve accepts connections on the listener until the server is closed.
 func Serve(l net.Listener, id Identity, t TLS, h Handler, m *meter.Meters) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{id: id, tls: t, handler: h, meters: m, listener: l, ctx: ctx, cancel: cancel}
@@ -44,28 +44,28 @@
 	return s
 }
 
-// Close ends all sessions.
+// Close closes the listener and all sessions and waits for them to end.
 func (s *Server) Close() {
 	s.cancel()
 	s.listener.Close()
 	s.wg.Wait()
 }
 
-// acceptPause is the wait after a failed accept.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 50 * time.Millisecond
 
 func (s *Server) accept() {
 	for s.ctx.Err() == nil {
 		c, err := s.listener.Accept()
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		s.wg.Go(func() { s.session(c) })
 	}
 }
 
-// session serves one connection until it ends.
+// session serves one connection until it is closed.
 func (s *Server) session(raw net.Conn) {
 	defer raw.Close()
 	stop := context.AfterFunc(s.ctx, func() { raw.Close() })
@@ -75,28 +75,28 @@
 		s.meters.Refuse(reason.PeerTLS)
 		return
 	}
-	waits := newWaits()
-	y, err := yamux.Server(&endingConn{c, waits}, sessionConfig())
+	reads := newPendingReads()
+	y, err := yamux.Server(&readStoppingConn{c, reads}, sessionConfig())
 	if err != nil {
 		return
 	}
 	defer y.Close()
-	defer waits.end()
-	from, err := s.greet(raw, c, y)
+	defer reads.stop()
+	from, err := s.exchangeHello(raw, c, y)
 	if err != nil {
 		return
 	}
-	s.serveStreams(from, y, waits)
+	s.serveStreams(from, y, reads)
 }
 
 func (s *Server) handshakeTLS(c net.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, handshakeTimeout)
 	defer cancel()
-	return secure(ctx, c, s.tls.Server(), true)
+	return startTLS(ctx, c, s.tls.Server(), true)
 }
 
-// greet exchanges the Hellos on the first stream.
-func (s *Server) greet(raw, c net.Conn, y *yamux.Session) (*wire.Member, error) {
+// exchangeHello reads the peer's Hello from the first stream and replies with this box's.
+func (s *Server) exchangeHello(raw, c net.Conn, y *yamux.Session) (*wire.Member, error) {
 	timer := time.AfterFunc(handshakeTimeout, func() { raw.Close() })
 	defer timer.Stop()
 	stream, err := y.AcceptStream()
@@ -106,36 +106,36 @@
 	}
 	defer stream.Close()
 	theirs := &wire.Hello{}
-	if err := readOnly(stream, maxHello, theirs); err != nil {
+	if err := readSingleFrame(stream, maxHello, theirs); err != nil {
 		s.meters.Refuse(reason.PeerMalformed)
 		return nil, err
 	}
 	ours := hello(s.id)
-	if r := judge(s.id, theirs, certifiedName(c)); r != nil {
+	if r := checkHello(s.id, theirs, certifiedName(c)); r != nil {
 		s.meters.Refuse(r)
 		ours.Refusal = refusal(r)
 		err := writeFrame(stream, ours)
-		s.linger(y)
+		s.awaitClose(y)
 		return nil, errors.Join(err, &RefusedError{r.Code, r.Title})
 	}
-	if err := adopt(s.id, theirs); err != nil {
+	if err := adoptClusterID(s.id, theirs); err != nil {
 		return nil, err
 	}
 	return theirs.Self, writeFrame(stream, ours)
 }
 
-// linger waits until the other side has ended the session. Closing first would
-// lose the refusal: the other side's yamux may see the end of the session before
-// it has seen its own Hello written, and then reports only the end. Who does not
-// end it is cut off by greet's timer.
-func (s *Server) linger(y *yamux.Session) {
+// awaitClose waits until the peer closes the session. Closing it first could lose the
+// refusal: the peer's yamux may see the end of the session before the write of its own
+// Hello completes, and then reports only the end. If the peer does not close the session,
+// the timer in exchangeHello does.
+func (s *Server) awaitClose(y *yamux.Session) {
 	select {
 	case <-y.CloseChan():
 	case <-s.ctx.Done():
 	}
 }
 
-func (s *Server) serveStreams(from *wire.Member, y *yamux.Session, w *waits) {
+func (s *Server) serveStreams(from *wire.Member, y *yamux.Session, reads *pendingReads) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	for {
@@ -143,14 +143,14 @@
 		if err != nil {
 			return
 		}
-		s.wg.Go(func() { s.stream(ctx, from, stream, w) })
+		s.wg.Go(func() { s.stream(ctx, from, stream, reads) })
 	}
 }
 
-func (s *Server) stream(ctx context.Context, from *wire.Member, stream *yamux.Stream, w *waits) {
+func (s *Server) stream(ctx context.Context, from *wire.Member, stream *yamux.Stream, reads *pendingReads) {
 	defer stream.Close()
-	r := newReader(w.reader(stream))
-	defer freeReader(r)
+	r := acquireReader(reads.reader(stream))
+	defer releaseReader(r)
 	request := &wire.Request{}
 	if err := readFrame(r, maxFrame, request); err != nil {
 		s.meters.Refuse(reason.PeerMalformed)
@@ -166,12 +166,12 @@
 		s.meters.Refuse(reason.PeerUnknown)
 		response = &wire.Response{Refusal: refusal(reason.PeerUnknown)}
 	}
-	// A peer that has gone does not read its answer; nothing is left to do then.
+	// A write error means that the peer disconnected; there is nothing left to do.
 	_ = writeFrame(stream, response)
 }
 
-// consensus takes the messages of the member that opened the session, and of
-// no other.
+// consensus receives messages sent by the member that opened the session. A message from
+// any other member ends the stream.
 func (s *Server) consensus(from *wire.Member, r *bufio.Reader) {
 	sender := from.Box + "/" + from.Incarnation
 	for {
