--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,7 +14,8 @@
 	return &wire.Member{Box: box, Incarnation: "i", Hall: hall, Disk: disk}
 }
 
-// input is three voters with disks in two halls, and two boxes without.
+// input returns a cluster of three voters with disks in two halls, and two other boxes
+// without disks.
 func input() membership.Input {
 	in := membership.Input{
 		Self: "a/i", Voters: []string{"a/i", "b/i", "c/i"}, WantedVoters: 3, RepairAfter: 5 * time.Second,
@@ -35,27 +36,27 @@
 		learn  string
 		voters []string
 	}{
-		"nothing to do":           {change: func(*membership.Input) {}},
-		"a short silence is none": {change: func(in *membership.Input) { in.ContactAge["b/i"] = 4 * time.Second }},
-		"a lost voter's hall first (3)": {
+		"nothing to do": {change: func(*membership.Input) {}},
+		"a voter unresponsive for less than RepairAfter is kept": {change: func(in *membership.Input) { in.ContactAge["b/i"] = 4 * time.Second }},
+		"a box in the hall of the lost voter comes first (3)": {
 			change: func(in *membership.Input) { in.ContactAge["b/i"] = long }, learn: "e/i",
 		},
-		"a stand-in that holds everything counts (4)": {
+		"a replacement that caught up becomes a voter (4)": {
 			change: func(in *membership.Input) {
 				in.ContactAge["b/i"], in.ContactAge["e/i"], in.CaughtUp["e/i"] = long, 0, true
 			},
 			voters: []string{"a/i", "c/i", "e/i"},
 		},
-		"one that does not yet hold everything does not (4)": {
+		"a replacement that has not caught up does not (4)": {
 			change: func(in *membership.Input) { in.ContactAge["b/i"], in.ContactAge["e/i"] = long, 0 },
 		},
-		"a silent stand-in is passed over (3)": {
+		"a box with an old report is skipped (3)": {
 			change: func(in *membership.Input) { in.ContactAge["b/i"], in.ReportAge["e/i"] = long, long }, learn: "d/i",
 		},
-		"a leaving stand-in is passed over (3)": {
+		"a draining box is skipped (3)": {
 			change: func(in *membership.Input) { in.ContactAge["b/i"], in.Members["e"].Leaving = long, true }, learn: "d/i",
 		},
-		"without a stand-in nothing changes (7)": {
+		"without a replacement nothing changes (7)": {
 			change: func(in *membership.Input) { in.ContactAge["b/i"], in.ReportAge = long, nil },
 		},
 		"a box that came back without its disk is another member (2)": {
@@ -65,17 +66,17 @@
 			},
 			learn: "b/new",
 		},
-		"a leaving voter is replaced at once (2)": {
+		"a draining voter is replaced immediately (2)": {
 			change: func(in *membership.Input) { in.Members["c"].Leaving = true }, learn: "d/i",
 		},
-		"a box with a disk takes the vote back (6)": {
+		"a box with a disk replaces a voter without one (6)": {
 			change: func(in *membership.Input) {
 				in.Voters = []string{"a/i", "c/i", "e/i"}
 				in.ContactAge["e/i"], in.CaughtUp["e/i"] = 0, true
 			},
 			voters: []string{"a/i", "c/i", "b/i"},
 		},
-		"too few voters get another (1)": {
+		"a missing voter is added (1)": {
 			change: func(in *membership.Input) { in.Voters = []string{"a/i", "b/i"}; delete(in.ContactAge, "c/i") }, learn: "c/i",
 		},
 	} {
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -113,7 +113,7 @@
 mutant lease-before-established replica/loop.go 's/held && s.Established/held/' replica 'TestLeaderHoldsNoLeaseBefore'
 mutant leaving-ignored route/route.go 's/if b.leaving.Load\(\) \|\| /if /; s/return !view.Servers\[p.Server\].GetLeaving\(\) && !d.gone\[p.Server\]/return true/; s/s == nil \|\| s.Leaving/s == nil/' e2e 'TestLeaving'
 mutant second-file-wins state/file.go 's/if first := s.accepted\(a.Number\); first != nil \{/if first := s.accepted(a.Number); first != nil \&\& first.Digest == a.Digest {/' e2e 'TestRacing'
-mutant no-stand-in membership/membership.go 's/if standIn == "" \{/if standIn != "x" {/' e2e 'TestSecondLoss'
+mutant no-stand-in membership/membership.go 's/if added == "" \{/if added != "x" {/' e2e 'TestSecondLoss'
 mutant no-balancer-lag box/stop.go 's/time.Sleep\(b.settings.BalancerLag\)/time.Sleep(0)/' e2e 'TestRolling'
 mutant refusal-closes-first peer/server.go 's/\t\ts.awaitClose\(y\)\n//' peer 'TestPeer'
 mutant full-follower-ends replica/loop.go 's/if errors.Is\(err, wal.ErrFull\) \{\n\t\t\treturn r.withdraw\(err\)/if false {\n\t\t\treturn r.withdraw(err)/' e2e 'TestFollowersFullDisk'
