--- a/admin/admin.go
+++ b/admin/admin.go
@@ -49,7 +49,7 @@
 	Cluster Cluster
 	View    func() *state.State
 	Ready   func() (bool, string)
-	Records *record.Book
+	Records *record.History
 	Meters  *meter.Meters
 	// Standing returns what this box knows of a workspace's quota; nil where it serves none.
 	Standing func(rate.Key) (rate.LimitStatus, bool)
@@ -123,11 +123,11 @@
 }
 
 func (a *Admin) refuse(w http.ResponseWriter, why *reason.Reason, answer *ApplyAnswer) {
-	a.opts.Meters.Refuse(why)
+	a.opts.Meters.CountRefusal(why)
 	if answer == nil {
 		answer = &ApplyAnswer{Outcome: "refused"}
 	}
-	answer.Reason, answer.Text = why.Code, why.Title+" "+why.Text
+	answer.Reason, answer.Text = why.Code, why.Title+" "+why.Remedy
 	a.reply(w, why.Status, answer)
 }
 
@@ -272,7 +272,7 @@
 		return
 	}
 	if result.State.Fleet == nil {
-		a.refuse(w, reason.NoFleet, nil)
+		a.refuse(w, reason.NoFleetFile, nil)
 		return
 	}
 	text, err := state.FileText(result.State)
@@ -327,7 +327,7 @@
 
 func (a *Admin) explain(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "name")
-	e := &Explanation{Box: a.opts.Box, About: name, Decisions: a.opts.Records.About(name)}
+	e := &Explanation{Box: a.opts.Box, About: name, Decisions: a.opts.Records.ByName(name)}
 	for _, res := range a.opts.View().Encode().Residents {
 		if res.Item.Adapter == name || res.Item.Adapter == "" && res.Item.Model == name || res.Server == name {
 			e.Now = append(e.Now, ledger.Describe(res.Item)+" on "+res.Server+": "+phaseName(res.Phase))
--- a/admin/evacuations.go
+++ b/admin/evacuations.go
@@ -47,7 +47,7 @@
 		a.reply(w, http.StatusOK, answer)
 		return
 	}
-	a.opts.Meters.Refuse(why)
-	answer.Reason, answer.Text = why.Code, why.Title+" "+why.Text
+	a.opts.Meters.CountRefusal(why)
+	answer.Reason, answer.Text = why.Code, why.Title+" "+why.Remedy
 	a.reply(w, why.Status, answer)
 }
--- a/admit/admit.go
+++ b/admit/admit.go
@@ -117,7 +117,7 @@
 		return nil, reason.Overloaded
 	}
 	if c.waitingByCaller[r.Caller] >= maxWaiting/2 && len(c.waitingByCaller) > 1 { // (4)
-		return nil, reason.OverShare
+		return nil, reason.OverFairShare
 	}
 	r.queuedAt, r.assigned = now, make(chan *route.Backend, 1)
 	c.waiting = append(c.waiting, r)
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -81,7 +81,7 @@
 	d.Update(st)
 	return serve(t, entry.New(entry.Options{
 		Directory: d, View: func() *state.State { return st }, Current: func() bool { return true }, Sender: proxy.NewSender(),
-		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1 << 20,
+		Meters: meter.New(), Records: record.NewHistory(100), MaxBody: 1 << 20,
 	}))
 }
 
--- a/box/apply_test.go
+++ b/box/apply_test.go
@@ -24,7 +24,7 @@
 type onlyVoter struct{ replica.MemoryStorage }
 
 func (onlyVoter) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
 // loneLeader leads a cluster whose list names two more boxes, which never ask for news.
--- a/box/box.go
+++ b/box/box.go
@@ -59,7 +59,7 @@
 	settings *settings.Settings
 	log      *zap.Logger
 	meters   *meter.Meters
-	records  *record.Book
+	records  *record.History
 	clock    *clock.Clock // begins with the process
 	store    *wal.Store
 	id       *identity
@@ -114,10 +114,10 @@
 func Start(s *settings.Settings, tls peer.TLS, log *zap.Logger) (*Box, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Box{
-		settings: s, log: log, meters: meter.New(), records: record.NewBook(recordLimit), clock: clock.New(),
+		settings: s, log: log, meters: meter.New(), records: record.NewHistory(recordLimit), clock: clock.New(),
 		fatal: make(chan error, 1), cancel: cancel,
 	}
-	b.meters.Gauge(meter.Build, build.Name(), strconv.Itoa(int(level.Newest))).Set(1)
+	b.meters.Gauge(meter.BuildInfo, build.Name(), strconv.Itoa(int(level.Newest))).Set(1)
 	if err := b.open(tls); err != nil {
 		cancel()
 		return nil, err
--- a/box/crashes.go
+++ b/box/crashes.go
@@ -52,7 +52,7 @@
 	select {
 	case c.reports <- crashReport{time.Now(), r}:
 	default:
-		event.CrashSeen.Log(c.log, zap.Bool("dropped", true), zap.Int("signs", len(r.Signs)))
+		event.CrashDetected.Log(c.log, zap.Bool("dropped", true), zap.Int("signs", len(r.Signs)))
 	}
 }
 
@@ -70,9 +70,9 @@
 		}
 		strong = append(strong, p.String())
 	}
-	c.meters.Count(meter.CrashSigns, "strong").Add(float64(len(strong)))
-	c.meters.Count(meter.CrashSigns, "weak").Add(float64(len(weak)))
-	event.CrashSeen.Log(c.log, zap.String("server", r.Signs[0].Server), zap.String("version", r.Signs[0].Version), zap.Strings("prints", strong), zap.Strings("weak", weak))
+	c.meters.Count(meter.CrashReports, "strong").Add(float64(len(strong)))
+	c.meters.Count(meter.CrashReports, "weak").Add(float64(len(weak)))
+	event.CrashDetected.Log(c.log, zap.String("server", r.Signs[0].Server), zap.String("version", r.Signs[0].Version), zap.Strings("prints", strong), zap.Strings("weak", weak))
 }
 
 // forward passes a call on to the leader; the reason is nil once it was carried out.
@@ -107,7 +107,7 @@
 		}
 		wait.For(ctx, crashesPause)
 	}
-	event.CrashSeen.Log(c.log, zap.Bool("dropped", true), zap.Int("reports", len(list)))
+	event.CrashDetected.Log(c.log, zap.Bool("dropped", true), zap.Int("reports", len(list)))
 }
 
 // joined makes one report of several, with its times as of now. Those on the clock of this box stay.
--- a/box/directory.go
+++ b/box/directory.go
@@ -40,10 +40,10 @@
 			b.logFile(view, began)
 		}
 		b.meters.Gauge(meter.StateIndex).Set(float64(view.Index))
-		b.meters.Gauge(meter.LevelInForce).Set(float64(view.Level))
+		b.meters.Gauge(meter.ActiveLevel).Set(float64(view.Level))
 		b.meters.Gauge(meter.FleetNumber).Set(float64(view.Version.GetNumber()))
-		b.meters.Gauge(meter.LimitsInForce).Set(float64(len(view.Limits)))
-		b.meters.Gauge(meter.CrashersHeld).Set(float64(view.Crashers.BlockedCount()))
+		b.meters.Gauge(meter.ServerLimits).Set(float64(len(view.Limits)))
+		b.meters.Gauge(meter.CrashersBlocked).Set(float64(view.Crashers.BlockedCount()))
 		wait.For(ctx, min(routesMost, routesShare*time.Since(began)))
 		select {
 		case <-changed:
@@ -56,7 +56,7 @@
 
 // logFile says that the routes follow a view with another fleet file, seen at a time.
 func (b *Box) logFile(view *state.State, seen time.Time) {
-	event.FileInForce.Log(b.log, zap.Uint64("number", view.Version.GetNumber()), zap.Uint64("index", view.Version.GetIndex()),
+	event.FleetFileApplied.Log(b.log, zap.Uint64("number", view.Version.GetNumber()), zap.Uint64("index", view.Version.GetIndex()),
 		zap.Time("agreed", time.UnixMilli(view.Version.GetUnixMs()).UTC()), zap.Duration("held", time.Since(seen)), zap.Int("bytes", len(view.Text)))
 }
 
--- a/box/lead.go
+++ b/box/lead.go
@@ -32,7 +32,7 @@
 	case errors.Is(err, replica.ErrBusy):
 		return reason.Busy
 	case errors.Is(err, control.ErrLevelTooLow):
-		return reason.LevelLow
+		return reason.LevelTooLow
 	case errors.Is(err, errUnknownHall):
 		return reason.UnknownHall
 	}
--- a/box/membership.go
+++ b/box/membership.go
@@ -32,6 +32,6 @@
 	defer cancel()
 	call := &wire.Forward{Kind: wire.ForwardKind_FORWARD_JOIN, Member: self, DeadlineMs: uint32(forwardTimeout.Milliseconds())}
 	if _, why := f.Forward(ctx, call); why == nil {
-		event.Listed.Log(b.log, zap.Bool("leaving", self.Leaving))
+		event.BoxListed.Log(b.log, zap.Bool("leaving", self.Leaving))
 	}
 }
--- a/box/platform.go
+++ b/box/platform.go
@@ -98,7 +98,7 @@
 // tellRests has the leader hear of servers' long rests until the context ends.
 func (p *parts) tellRests(ctx context.Context) {
 	for wait.For(ctx, restsEvery) {
-		if p.replica.View().Level < level.ServerRests {
+		if p.replica.View().Level < level.ServerBackoffs {
 			continue
 		}
 		for server, left := range p.pushback.LongBackoffs() {
@@ -166,7 +166,7 @@
 	}
 	answer, why := (&forwarder{c.box, c.parts}).Forward(ctx, f)
 	if why != nil {
-		c.box.meters.Refuse(why)
+		c.box.meters.CountRefusal(why)
 		return nil, &refusedError{why}
 	}
 	return answer, nil
@@ -184,13 +184,13 @@
 		Kind: wire.ForwardKind_FORWARD_APPLY, Apply: &wire.ApplyFleet{Number: number, Digest: fleet.Digest(text), Text: string(text), Format: format},
 	})
 	if err != nil {
-		event.ConfigurationUnsure.Log(c.box.log, zap.Uint64("number", number), event.Cause(err))
+		event.ConfigurationUnacknowledged.Log(c.box.log, zap.Uint64("number", number), event.ErrorField(err))
 		return err
 	}
 	if answer.Apply.Outcome == string(state.Invalid) {
 		return Error.New("the leader cannot read the configuration")
 	}
-	event.ConfigurationTaken.Log(c.box.log, zap.Uint64("number", number), zap.String("outcome", answer.Apply.Outcome),
+	event.ConfigurationAccepted.Log(c.box.log, zap.Uint64("number", number), zap.String("outcome", answer.Apply.Outcome),
 		zap.Uint64("winner", answer.Apply.Winner.GetNumber()), zap.Uint32("in_force", answer.Apply.InForce), zap.Uint32("boxes", answer.Apply.Boxes))
 	return nil
 }
@@ -275,15 +275,15 @@
 
 // Malformed notes a call that could not be read.
 func (c *platformCluster) Malformed(what string, err error) {
-	c.box.meters.Refuse(reason.BadRequest)
-	event.CallMalformed.Log(c.box.log, zap.String("call", what), event.Cause(err))
+	c.box.meters.CountRefusal(reason.BadRequest)
+	event.CallMalformed.Log(c.box.log, zap.String("call", what), event.ErrorField(err))
 }
 
 // StrangeWord counts a word that names no server, and writes its line where none of its kind was written lately:
 // another writer may send one each second.
 func (c *platformCluster) StrangeWord(call string, why platform.Strangeness, err error) {
-	c.box.meters.Count(meter.StrangeWords, string(why)).Inc()
+	c.box.meters.Count(meter.InvalidReports, string(why)).Inc()
 	if c.box.strange.due(string(why), time.Now()) {
-		event.CallMalformed.Log(c.box.log, zap.String("call", call), zap.String("why", string(why)), event.Cause(err))
+		event.CallMalformed.Log(c.box.log, zap.String("call", call), zap.String("why", string(why)), event.ErrorField(err))
 	}
 }
--- a/box/reports.go
+++ b/box/reports.go
@@ -65,7 +65,7 @@
 				return // the last word stands
 			}
 			backend.RecordReport(st.Running + st.Waiting)
-			backend.SetDraining(st.Leaving)
+			backend.SetDraining(st.Draining)
 		})
 	}
 	wg.Wait()
--- a/box/stop.go
+++ b/box/stop.go
@@ -49,7 +49,7 @@
 		p.gateway.Stop()
 	}
 	if err := endHTTP(b.entryHTTP, b.settings.StopTimeout); err != nil {
-		event.CutOff.Log(b.log, event.Cause(err))
+		event.RequestsCutOff.Log(b.log, event.ErrorField(err))
 		return Error.Wrap(err)
 	}
 	return nil
--- a/certs/certs.go
+++ b/certs/certs.go
@@ -97,11 +97,11 @@
 	}
 	l, err := s.load()
 	if err != nil {
-		event.CertificatesRefuse.Log(s.log, event.Cause(err))
+		event.CertificatesRejected.Log(s.log, event.ErrorField(err))
 		return
 	}
 	s.current.Store(l)
-	event.CertificatesTaken.Log(s.log)
+	event.CertificatesReloaded.Log(s.log)
 }
 
 // Server returns a configuration that wants a certificate of the other side.
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestMain(m *testing.M) {
-	fixed.Rapid(150)
+	fixed.SetRapidFlags(150)
 	os.Exit(m.Run())
 }
 
--- a/command/read.go
+++ b/command/read.go
@@ -152,7 +152,7 @@
 			fmt.Fprintf(w, "  now: %s\n", line)
 		}
 		for _, d := range e.Decisions {
-			fmt.Fprintf(w, "  %s %s: %s\n", d.Time.Format("15:04:05.000"), d.What, d.Reason)
+			fmt.Fprintf(w, "  %s %s: %s\n", d.Time.Format("15:04:05.000"), d.Summary, d.Reason)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 		return callFailed(c.p, last)
 	}
 	if len(found) == 0 {
-		fmt.Fprintln(c.p.err, reason.NotFound.Title, reason.NotFound.Text)
+		fmt.Fprintln(c.p.err, reason.NotFound.Title, reason.NotFound.Remedy)
 		return ExitRefused
 	}
 	c.p.print(found)
@@ -237,17 +237,17 @@
 	case "reasons":
 		fmt.Fprint(&b, "# Reasons\n\nMade by `leverdrum docs reasons` from package reason.\n\n| code | met by | status | outcome | retry after | title | what to do |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 		for _, r := range reason.All() {
-			fmt.Fprintf(&b, "| `%s` | %s | %d | %s | %v | %s | %s |\n", r.Code, r.Audience, r.Status, r.Outcome, r.RetryAfter, r.Title, r.Text)
+			fmt.Fprintf(&b, "| `%s` | %s | %d | %s | %v | %s | %s |\n", r.Code, r.Audience, r.Status, r.Outcome, r.RetryAfter, r.Title, r.Remedy)
 		}
 	case "metrics":
 		fmt.Fprint(&b, "# Metrics\n\nMade by `leverdrum docs metrics` from package meter.\n\n| name | kind | labels | meaning |\n| --- | --- | --- | --- |\n")
 		for _, m := range meter.All() {
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", m.Name, m.Kind, strings.Join(m.Labels, ", "), m.Text)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", m.Name, m.Kind, strings.Join(m.Labels, ", "), m.Help)
 		}
 	case "events":
 		fmt.Fprint(&b, "# Log events\n\nMade by `leverdrum docs events` from package event. Each line of the log carries its code under `event`.\n\n| code | level | message | what to do |\n| --- | --- | --- | --- |\n")
 		for _, e := range event.All() {
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", e.Code, e.Level, e.Title, e.Text)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", e.Code, e.Level, e.Title, e.Remedy)
 		}
 	case "settings":
 		b.WriteString("# Settings of a box\n\nMade by `leverdrum docs settings` from package settings.\n\n" + conf.Markdown(settings.Schema))
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -20,7 +20,7 @@
 // TestMain fixes the seed, so that every run gives the same result; -rapid.seed
 // and -rapid.checks on the command line take precedence.
 func TestMain(m *testing.M) {
-	fixed.Rapid(60)
+	fixed.SetRapidFlags(60)
 	os.Exit(m.Run())
 }
 
--- a/control/announce.go
+++ b/control/announce.go
@@ -271,7 +271,7 @@
 	c.mu.Lock()
 	delete(c.suspicions, id)
 	c.mu.Unlock()
-	event.ServerSilent.Log(c.opts.Log, zap.String("server", id), zap.Duration("silence", silence), zap.Bool("forgotten", true))
+	event.ServerUnresponsive.Log(c.opts.Log, zap.String("server", id), zap.Duration("silence", silence), zap.Bool("forgotten", true))
 }
 
 // unresponsive returns the time since a server was last seen and whether that is too long.
--- a/control/backoff_test.go
+++ b/control/backoff_test.go
@@ -22,8 +22,8 @@
 // backoffServer is a model server that asked for a backoff after its order was committed.
 type backoffServer struct{ reporter }
 
-func (r *backoffServer) Give(context.Context, string, *engine.CountedOrder) (engine.Verdict, error) {
-	return "", engine.ErrResting
+func (r *backoffServer) SendOrder(context.Context, string, *engine.CountedOrder) (engine.Verdict, error) {
+	return "", engine.ErrInBackoff
 }
 
 // An order that was not sent because of a backoff has not run, and its memory is free at once. An
--- a/control/boxes.go
+++ b/control/boxes.go
@@ -76,7 +76,7 @@
 	m := unresponsive[0]
 	cmd := &wire.Command{Kind: &wire.Command_Leave{Leave: &wire.Leave{Box: m.Box, Incarnation: m.Incarnation}}}
 	if _, err := c.propose(ctx, cmd); err == nil {
-		event.BoxForgotten.Log(c.opts.Log, zap.String("member", state.MemberID(m)))
+		event.BoxRemoved.Log(c.opts.Log, zap.String("member", state.MemberID(m)))
 	}
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -79,7 +79,7 @@
 	Spread  *spread.Distributor
 	Engines func(name, address string) engine.Server
 	// Counting connects to servers that count orders; nil if there are none.
-	Counting engine.Counting
+	Counting engine.CountedOrderClient
 	// InBackoff reports whether a server asked this box for a backoff that is still in effect; if
 	// nil, no server did.
 	InBackoff func(server string) bool
@@ -102,7 +102,7 @@
 	// UpgradeSettleTime is how long all boxes must support a level before the cluster is raised to
 	// it.
 	UpgradeSettleTime time.Duration
-	Records           *record.Book
+	Records           *record.History
 	Meters            *meter.Meters
 	Log               *zap.Logger
 }
@@ -281,7 +281,7 @@
 		c.longTermRates.reset()
 		c.opts.Meters.Count(meter.Elections).Inc()
 	}
-	c.opts.Meters.Gauge(meter.Leads).Set(value)
+	c.opts.Meters.Gauge(meter.IsLeader).Set(value)
 	event.LeadershipChanged.Log(c.opts.Log, zap.Bool("leads", leads), zap.Uint64("term", c.opts.Replica.Status().Term))
 }
 
--- a/control/counted.go
+++ b/control/counted.go
@@ -129,24 +129,24 @@
 	endAttempt := x.c.beginAttempt(x.order)
 	verdict, err := x.deliver(ctx)
 	endAttempt(mayArriveLate(err))
-	if errors.Is(err, engine.ErrResting) && !x.unconfirmed {
+	if errors.Is(err, engine.ErrInBackoff) && !x.unconfirmed {
 		return engine.Outcome{Detail: "the server is in backoff; the order was not sent"}, true
 	}
-	if errors.Is(err, engine.ErrResting) {
+	if errors.Is(err, engine.ErrInBackoff) {
 		wait.For(ctx, countedRetryDelay)
 		return engine.Outcome{}, false
 	}
 	if err != nil {
-		event.OrderUnanswered.Log(x.c.opts.Log, zap.Uint64("order", x.order.Id), zap.String("server", x.order.Server), event.Cause(err))
+		event.OrderUnanswered.Log(x.c.opts.Log, zap.Uint64("order", x.order.Id), zap.String("server", x.order.Server), event.ErrorField(err))
 		x.unconfirmed = true
 		wait.For(ctx, countedRetryDelay)
 		return engine.Outcome{}, false
 	}
 	switch verdict {
-	case engine.Taken:
+	case engine.Accepted:
 		x.countAdvanced = true
 		return x.await(ctx)
-	case engine.Holds:
+	case engine.Satisfied:
 		x.countAdvanced = x.order.Item.Adapter != "" && x.order.Action == wire.OrderAction_ORDER_UNLOAD
 		return engine.Outcome{Done: true}, true
 	case engine.Conflict:
@@ -160,7 +160,7 @@
 // mayArriveLate reports whether an order may still be executed later, given the error of its
 // attempt.
 func mayArriveLate(err error) bool {
-	return err != nil && !errors.Is(err, engine.ErrResting) && !errors.Is(err, engine.ErrUnreached)
+	return err != nil && !errors.Is(err, engine.ErrInBackoff) && !errors.Is(err, engine.ErrUnreachable)
 }
 
 func (x *countedDelivery) report(ctx context.Context) (*engine.Report, error) {
@@ -174,7 +174,7 @@
 	defer cancel()
 	o := x.order
 	_, adapter := fleet.SplitAdapter(o.Item.Adapter)
-	v, err := x.c.opts.Counting.Give(ctx, x.addr, &engine.CountedOrder{
+	v, err := x.c.opts.Counting.SendOrder(ctx, x.addr, &engine.CountedOrder{
 		Count: x.count, Holder: x.c.opts.Holder, Fence: o.Id, Incarnation: o.ServerIncarnation,
 		Action: actionName(o.Action), Model: o.Item.Model, Adapter: adapter,
 	})
@@ -207,7 +207,7 @@
 // matchesOrder reports whether the server's residents are in the state that the order asks for.
 func (x *countedDelivery) matchesOrder(r *engine.Report) bool {
 	_, adapter := fleet.SplitAdapter(x.order.Item.Adapter)
-	loaded := r.Holding[[2]string{x.order.Item.Model, adapter}]
+	loaded := r.ReadyItems[[2]string{x.order.Item.Model, adapter}]
 	return loaded == (x.order.Action == wire.OrderAction_ORDER_LOAD)
 }
 
@@ -215,7 +215,7 @@
 // Then an earlier order was executed late, and this one may not fit into memory any more.
 func (x *countedDelivery) hasUnexpectedResidents(r *engine.Report) bool {
 	view := x.c.opts.Replica.View()
-	for resident := range r.Holding {
+	for resident := range r.ReadyItems {
 		location := ledger.Location{Server: x.order.Server, Model: resident[0], Version: x.order.Item.Version}
 		if resident[1] != "" {
 			location.Adapter = fleet.AdapterName(resident[0], resident[1])
@@ -235,7 +235,7 @@
 	}
 	next := proto.CloneOf(a)
 	next.TakeResidents = true
-	for resident := range r.Holding {
+	for resident := range r.ReadyItems {
 		item := &wire.Item{Model: resident[0], Version: o.Item.Version}
 		if resident[1] != "" {
 			item.Adapter = fleet.AdapterName(resident[0], resident[1])
--- a/control/crashes.go
+++ b/control/crashes.go
@@ -43,7 +43,7 @@
 		return err
 	}
 	for _, s := range result.Blocked {
-		logSuspect(event.CrasherHeld, c.opts.Log, s)
+		logSuspect(event.CrasherBlocked, c.opts.Log, s)
 	}
 	return nil
 }
--- a/control/decide.go
+++ b/control/decide.go
@@ -93,7 +93,7 @@
 	if result.Err != nil {
 		what, d.Reason = "not issued: "+what, result.Err.Error()
 	}
-	c.opts.Records.Note(record.Model, nameOf(d.Order.Item), what, d.Reason)
+	c.opts.Records.Add(record.Model, nameOf(d.Order.Item), what, d.Reason)
 	event.OrderIssued.Log(c.opts.Log, zap.String("order", what), zap.String("why", d.Reason), zap.Uint64("id", result.Order.GetId()))
 }
 
@@ -109,7 +109,7 @@
 	for _, s := range list {
 		next[s.Model] = s.Reason
 		if c.shortages[s.Model] == "" {
-			c.opts.Records.Note(record.Model, s.Model, "not placed", s.Reason)
+			c.opts.Records.Add(record.Model, s.Model, "not placed", s.Reason)
 		}
 	}
 	c.shortages = next
--- a/control/inherited_test.go
+++ b/control/inherited_test.go
@@ -19,12 +19,12 @@
 }
 
 func (r *reporter) Report(context.Context, string, string) (*engine.Report, error) {
-	return &engine.Report{Count: 7, Holding: map[[2]string]bool{{"m", ""}: r.modelLoaded.Load()}}, nil
+	return &engine.Report{Count: 7, ReadyItems: map[[2]string]bool{{"m", ""}: r.modelLoaded.Load()}}, nil
 }
 
-func (r *reporter) Give(context.Context, string, *engine.CountedOrder) (engine.Verdict, error) {
+func (r *reporter) SendOrder(context.Context, string, *engine.CountedOrder) (engine.Verdict, error) {
 	r.delivered.Add(1)
-	return engine.Taken, nil
+	return engine.Accepted, nil
 }
 
 // Copies that were loaded during a change of leader stayed unused for three more seconds, and the
--- a/control/limits.go
+++ b/control/limits.go
@@ -32,7 +32,7 @@
 		if _, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Limit{Limit: limit}}); err != nil {
 			continue // reported again
 		}
-		event.LimitAgreed.Log(c.opts.Log, zap.String("server", l.Server), zap.Float64("limit", dialect.Limit(l.Milli).PerSecond()))
+		event.LimitCommitted.Log(c.opts.Log, zap.String("server", l.Server), zap.Float64("limit", dialect.Limit(l.Milli).PerSecond()))
 	}
 }
 
--- a/control/loads.go
+++ b/control/loads.go
@@ -73,7 +73,7 @@
 			l.reported = true
 			if !c.itemReady(view, l.order.Item) {
 				r.Signs = append(r.Signs, l.crashSign(weak, now))
-				event.CrashSeen.Log(c.opts.Log, zap.String("server", l.order.Server), zap.String("load", ledger.Describe(l.order.Item)),
+				event.CrashDetected.Log(c.opts.Log, zap.String("server", l.order.Server), zap.String("load", ledger.Describe(l.order.Item)),
 					zap.Strings("prints", []string{loadFingerprint(l.order.Item).String()}), zap.Bool("weak", weak))
 			}
 		}
--- a/control/notice_test.go
+++ b/control/notice_test.go
@@ -22,7 +22,7 @@
 type singleVoterStorage struct{ replica.MemoryStorage }
 
 func (singleVoterStorage) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"b/i"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"b/i"}}}}
 }
 
 // newUnlistedLeader returns a controller whose box leads a cluster of one and is not listed yet.
@@ -90,7 +90,7 @@
 	}
 	wg.Wait()
 	g.Eventually(func() bool { crash(); return unresponsive() }, 10*time.Second).Should(BeTrue())
-	g.Expect(logged.FilterMessage(event.ServerSilent.Title).Len()).To(Equal(1))
+	g.Expect(logged.FilterMessage(event.ServerUnresponsive.Title).Len()).To(Equal(1))
 }
 
 // The same deterministically, without relying on 20 concurrent reports.
--- a/control/orders.go
+++ b/control/orders.go
@@ -63,7 +63,7 @@
 			return
 		}
 		if err != nil {
-			event.OrderUnanswered.Log(c.opts.Log, zap.Uint64("order", o.Id), zap.String("server", o.Server), event.Cause(err))
+			event.OrderUnanswered.Log(c.opts.Log, zap.Uint64("order", o.Id), zap.String("server", o.Server), event.ErrorField(err))
 		}
 	}
 	lastArrival := time.Now().Add(s.Kind.OrderLate)
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -21,7 +21,7 @@
 )
 
 func TestMain(m *testing.M) {
-	fixed.Rapid(100)
+	fixed.SetRapidFlags(100)
 	os.Exit(m.Run())
 }
 
--- a/control/states.go
+++ b/control/states.go
@@ -60,16 +60,16 @@
 		}
 		known := view.Servers.Get(s.Name)
 		settled := c.settled(s, known, r)
-		if known.GetIncarnation() == r.state.Incarnation && known.GetLeaving() == r.state.Leaving && !settled {
+		if known.GetIncarnation() == r.state.Incarnation && known.GetLeaving() == r.state.Draining && !settled {
 			continue
 		}
 		seen := &wire.ServerSeen{
-			Server: s.Name, Incarnation: r.state.Incarnation, Leaving: r.state.Leaving, Residents: residents(s.Name, r.state), Settled: settled,
+			Server: s.Name, Incarnation: r.state.Incarnation, Leaving: r.state.Draining, Residents: residents(s.Name, r.state), Settled: settled,
 		}
 		if _, err := c.propose(ctx, &wire.Command{Kind: &wire.Command_Server{Server: seen}}); err != nil {
 			return
 		}
-		c.opts.Records.Note(record.Server, s.Name, "incarnation "+r.state.Incarnation, "reported by the server")
+		c.opts.Records.Add(record.Server, s.Name, "incarnation "+r.state.Incarnation, "reported by the server")
 	}
 }
 
--- a/control/unreachable.go
+++ b/control/unreachable.go
@@ -90,7 +90,7 @@
 		c.retrySuspicion(id)
 		return
 	}
-	event.ServerSilent.Log(c.opts.Log, zap.String("server", id), why)
+	event.ServerUnresponsive.Log(c.opts.Log, zap.String("server", id), why)
 }
 
 func (c *Controller) retrySuspicion(id string) {
--- a/crasher/registry_test.go
+++ b/crasher/registry_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestMain(m *testing.M) {
-	fixed.Rapid(300)
+	fixed.SetRapidFlags(300)
 	m.Run()
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -121,11 +121,11 @@
 	return func() {
 		next, err := settings.Load(path)
 		if err != nil {
-			event.SettingsRefused.Log(log, event.Cause(err))
+			event.SettingsRejected.Log(log, event.ErrorField(err))
 			return
 		}
 		b.Reload(next)
-		event.SettingsRead.Log(log)
+		event.SettingsReloaded.Log(log)
 	}
 }
 
@@ -180,17 +180,17 @@
 	event.Starting.Log(log, zap.String("build", build.Name()), zap.Stringer("knows", level.Newest))
 	tls, err := openTLS(s, log, done)
 	if err != nil {
-		event.CannotStart.Log(log, event.Cause(err))
+		event.CannotStart.Log(log, event.ErrorField(err))
 		return subcommands.ExitFailure
 	}
 	b, err := box.Start(s, tls, log)
 	if err != nil {
-		event.CannotStart.Log(log, event.Cause(err))
+		event.CannotStart.Log(log, event.ErrorField(err))
 		return subcommands.ExitFailure
 	}
 	event.Started.Log(log, zap.Strings("roles", s.Roles))
 	if err := sent.await(b.Fatal(), reload(b, path, log)); err != nil {
-		event.CannotGoOn.Log(log, event.Cause(err))
+		event.FatalError.Log(log, event.ErrorField(err))
 		return subcommands.ExitFailure
 	}
 	if err := b.Stop(); err != nil {
--- a/engine/counting.go
+++ b/engine/counting.go
@@ -22,14 +22,14 @@
 
 // The verdicts.
 const (
-	// Taken: the order is under way.
-	Taken Verdict = "taken"
-	// Holds: things are already as the order wants them.
-	Holds Verdict = "holds"
+	// Accepted: the order is under way.
+	Accepted Verdict = "taken"
+	// Satisfied: things are already as the order wants them.
+	Satisfied Verdict = "holds"
 	// Conflict: another order is under way, or the count is another.
 	Conflict Verdict = "conflict"
-	// Elsewhere: another incarnation has the address.
-	Elsewhere Verdict = "elsewhere"
+	// WrongIncarnation: another incarnation has the address.
+	WrongIncarnation Verdict = "elsewhere"
 	// Refused: the order or its fence is not accepted.
 	Refused Verdict = "refused"
 )
@@ -40,24 +40,24 @@
 	Count uint64
 	// Busy tells that an order is under way.
 	Busy bool
-	// Holding are the models and adapters that are ready, by model and adapter
+	// ReadyItems are the models and adapters that are ready, by model and adapter
 	// name (without its model; "" for the model itself).
-	Holding map[[2]string]bool
-	Queued  int
-	Running int
+	ReadyItems map[[2]string]bool
+	Queued     int
+	Running    int
 }
 
-// Counting speaks to servers that count orders.
-type Counting interface {
+// CountedOrderClient speaks to servers that count orders.
+type CountedOrderClient interface {
 	// Report reads a server's word on itself.
 	Report(ctx context.Context, address, incarnation string) (*Report, error)
-	// Give sends an order once. An error means that it may have been taken, or may
+	// SendOrder sends an order once. An error means that it may have been taken, or may
 	// be later.
-	Give(ctx context.Context, address string, o *CountedOrder) (Verdict, error)
+	SendOrder(ctx context.Context, address string, o *CountedOrder) (Verdict, error)
 }
 
-// Guarded returns a client whose bytes leave only while allowed says so; it is
+// NewGuardedClient returns a client whose bytes leave only while allowed says so; it is
 // asked last thing before each write. Connections are not kept.
-func Guarded(allowed func() bool) *http.Client {
+func NewGuardedClient(allowed func() bool) *http.Client {
 	return &http.Client{Transport: newGuardedTransport(allowed)}
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -22,11 +22,11 @@
 
 // Paths and headers of the protocol.
 const (
-	StatePath = "/state"
-	OrderPath = "/orders"
-	ChatPath  = "/v1/chat/completions"
-	HeaderID  = "X-Attempt-Id" // sent with a request, repeated in its answer
-	HeaderRan = "X-Not-Run"    // "true" in an answer: the request was not run
+	StatePath       = "/state"
+	OrderPath       = "/orders"
+	ChatPath        = "/v1/chat/completions"
+	HeaderAttemptID = "X-Attempt-Id" // sent with a request, repeated in its answer
+	HeaderNotRun    = "X-Not-Run"    // "true" in an answer: the request was not run
 	// HeaderVersion, in an answer, is the version of the weights that give it.
 	HeaderVersion = "X-Model-Version"
 	// HeaderLastEvent, in a request, asks a server that resumes streams to go on
@@ -74,7 +74,7 @@
 // State is what a server says of itself. It may lag.
 type State struct {
 	Incarnation string     `json:"incarnation"`
-	Leaving     bool       `json:"leaving"`
+	Draining    bool       `json:"leaving"`
 	Fence       uint64     `json:"fence"`
 	Running     int        `json:"running"`
 	Waiting     int        `json:"waiting"`
@@ -106,8 +106,8 @@
 func NewClient(allowed func() bool, said Pushback) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
-		reads:  Heed(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1}}, said, &dialect.Native),
-		orders: Heed(Guarded(allowed), said, &dialect.Native),
+		reads:  WithPushback(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1}}, said, &dialect.Native),
+		orders: WithPushback(NewGuardedClient(allowed), said, &dialect.Native),
 	}
 }
 
--- a/engine/guard.go
+++ b/engine/guard.go
@@ -12,8 +12,8 @@
 // ErrNotAllowed: the box does not lead any more; nothing was written.
 var ErrNotAllowed = errors.New("this box may not give orders any more")
 
-// ErrUnreached: no connection to the server came about; nothing was written.
-var ErrUnreached = errors.New("the server takes no connection")
+// ErrUnreachable: no connection to the server came about; nothing was written.
+var ErrUnreachable = errors.New("the server takes no connection")
 
 // guardedTransport sends requests whose bytes leave only while allowed says so; it is asked last thing before each write.
 // Connections are not kept.
@@ -24,7 +24,7 @@
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrUnreached, err)
+			return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 		}
 		sent, _ := ctx.Value(sendingKey{}).(*sending)
 		return &guardedConn{Conn: c, allowed: allowed, sending: sent}, nil
@@ -55,7 +55,7 @@
 	case err != nil && s.refused.Load():
 		return nil, ErrNotAllowed
 	case err != nil && s.resting.Load():
-		return nil, ErrResting
+		return nil, ErrInBackoff
 	}
 	return resp, err
 }
@@ -78,7 +78,7 @@
 	}
 	if s := c.sending; s != nil && !c.began && s.sendable != nil && !s.sendable() {
 		s.resting.Store(true)
-		return 0, ErrResting
+		return 0, ErrInBackoff
 	}
 	c.began = true
 	return c.Conn.Write(b)
--- a/engine/heed.go
+++ b/engine/heed.go
@@ -9,8 +9,8 @@
 	"leverdrum/dialect"
 )
 
-// ErrResting: the server asked this box for a rest; nothing was sent.
-var ErrResting = errors.New("the server asked this box for a rest")
+// ErrInBackoff: the server asked this box for a rest; nothing was sent.
+var ErrInBackoff = errors.New("the server asked this box for a rest")
 
 // Pushback is what servers say of themselves in their answers, by name or life.
 type Pushback interface {
@@ -41,8 +41,8 @@
 	dialect  *dialect.Dialect
 }
 
-// Heed has a client keep to what servers say of themselves. Calls need a context of WithServer.
-func Heed(c *http.Client, p Pushback, d *dialect.Dialect) *http.Client {
+// WithPushback has a client keep to what servers say of themselves. Calls need a context of WithServer.
+func WithPushback(c *http.Client, p Pushback, d *dialect.Dialect) *http.Client {
 	if p == nil {
 		return c
 	}
@@ -57,7 +57,7 @@
 	}
 	c.sendable = func() bool { return t.pushback.Sendable(c.server) }
 	if !c.sendable() {
-		return nil, ErrResting
+		return nil, ErrInBackoff
 	}
 	resp, err := t.next.RoundTrip(r)
 	if err != nil {
--- a/entry/access_test.go
+++ b/entry/access_test.go
@@ -69,6 +69,6 @@
 func TestWhatCallersAreToldOfAQuota(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true}).why).To(Equal(reason.OverQuota))
-	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true, TooLarge: true}).why).To(Equal(reason.BeyondQuota))
-	g.Expect(refusedByQuota(&rate.Refusal{}).why).To(Equal(reason.QuotaUnsure))
+	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true, TooLarge: true}).why).To(Equal(reason.ExceedsQuota))
+	g.Expect(refusedByQuota(&rate.Refusal{}).why).To(Equal(reason.QuotaUnknown))
 }
--- a/entry/crashers.go
+++ b/entry/crashers.go
@@ -44,7 +44,7 @@
 
 // noteBroken has a broken attempt watched: its backend server may have ended under it.
 func (e *Entry) noteBroken(j *job, b *route.Backend, why *reason.Reason) {
-	if why != reason.BackendBroke && why != reason.StreamBroke || b.Draining() {
+	if why != reason.BackendDisconnected && why != reason.StreamInterrupted || b.Draining() {
 		return
 	}
 	j.breaks++
--- a/entry/crashers_test.go
+++ b/entry/crashers_test.go
@@ -99,7 +99,7 @@
 	d.Update(st)
 	box := httptest.NewServer(entry.New(entry.Options{
 		Directory: d, View: agreed.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
-		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1000, ReportCrash: agreed.take,
+		Meters: meter.New(), Records: record.NewHistory(100), MaxBody: 1000, ReportCrash: agreed.take,
 	}))
 	t.Cleanup(box.Close)
 	call := func(path, body string) (int, string, string) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -49,7 +49,7 @@
 	Current func() bool
 	Sender  *proxy.Sender
 	Meters  *meter.Meters
-	Records *record.Book
+	Records *record.History
 	MaxBody int64
 	// BodyTimeout bounds the reading of a body; 0: no bound.
 	BodyTimeout time.Duration
@@ -152,7 +152,7 @@
 }
 
 func errorBody(id string, why *reason.Reason, detail string, after int) ErrorBody {
-	message := why.Title + " " + why.Text
+	message := why.Title + " " + why.Remedy
 	if detail != "" {
 		message += " (" + detail + ")"
 	}
@@ -166,8 +166,8 @@
 
 // refuseFor answers at once with a reason, and has the caller come back after a time; 0: not.
 func (e *Entry) refuseFor(w http.ResponseWriter, id string, why *reason.Reason, detail string, after time.Duration) {
-	e.opts.Meters.Refuse(why)
-	e.opts.Records.Note(record.Request, id, "refused: "+why.Code, why.Title+" "+detail)
+	e.opts.Meters.CountRefusal(why)
+	e.opts.Records.Add(record.Request, id, "refused: "+why.Code, why.Title+" "+detail)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderRequestID, id)
@@ -185,14 +185,14 @@
 // usable refuses what this box must not serve now, and returns the table.
 func (e *Entry) usable() (*route.Table, *reason.Reason) {
 	if e.opts.View().Fleet == nil {
-		return nil, reason.NoFleet
+		return nil, reason.NoFleetFile
 	}
 	if !e.opts.Current() {
 		return nil, reason.NotCurrent
 	}
 	table := e.opts.Directory.Table()
 	if table.Models == nil { // the routes follow the state a moment later
-		return nil, reason.NoFleet
+		return nil, reason.NoFleetFile
 	}
 	return table, nil
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -85,7 +85,7 @@
 	d.Update(st)
 	b.address = serve(entry.New(entry.Options{
 		Directory: d, View: func() *state.State { return b.st }, Current: b.current.Load, Sender: proxy.NewSender(),
-		Meters: b.meters, Records: record.NewBook(100), MaxBody: 1000, BodyTimeout: 300 * time.Millisecond,
+		Meters: b.meters, Records: record.NewHistory(100), MaxBody: 1000, BodyTimeout: 300 * time.Millisecond,
 	})).Listener.Addr().String()
 	return b
 }
@@ -194,12 +194,12 @@
 				Expect(r.status).To(Equal(http.StatusOK))
 				Expect(r.body).To(ContainSubstring("m@1"))
 			}
-			Expect(testutil.ToFloat64(b.meters.Count(meter.RetriesMade, why.Code))).To(BeNumerically(">", 0))
+			Expect(testutil.ToFloat64(b.meters.Count(meter.Retries, why.Code))).To(BeNumerically(">", 0))
 		},
-		Entry("it breaks off before its answer", standin.Faults{BreakBefore: true}, reason.RetryBroke),
-		Entry("it breaks off within its answer", standin.Faults{BreakAfter: 10}, reason.RetryBroke),
+		Entry("it breaks off before its answer", standin.Faults{BreakBefore: true}, reason.RetryDisconnected),
+		Entry("it breaks off within its answer", standin.Faults{BreakAfter: 10}, reason.RetryDisconnected),
 		Entry("it refuses", standin.Faults{Refuse: true}, reason.RetryRefused),
-		Entry("it answers another attempt", standin.Faults{WrongID: true}, reason.RetryBroke),
+		Entry("it answers another attempt", standin.Faults{WrongID: true}, reason.RetryDisconnected),
 		Entry("it fails", standin.Faults{Status: 500}, reason.RetryFailed),
 		Entry("it takes far longer than usual", standin.Faults{DelayMs: 60_000, Every: 3}, reason.RetrySlow),
 	)
@@ -227,11 +227,11 @@
 				Expect(r.retryAfter).To(Equal("1"))
 			}
 		},
-		Entry("by breaking off", standin.Faults{BreakBefore: true}, reason.BackendBroke),
-		Entry("by breaking off within the answer", standin.Faults{BreakAfter: 10}, reason.BackendBroke),
+		Entry("by breaking off", standin.Faults{BreakBefore: true}, reason.BackendDisconnected),
+		Entry("by breaking off within the answer", standin.Faults{BreakAfter: 10}, reason.BackendDisconnected),
 		Entry("by refusing", standin.Faults{Refuse: true}, reason.BackendRefused),
-		Entry("by answering others", standin.Faults{WrongID: true}, reason.BackendBroke),
-		Entry("by being late", standin.Faults{DelayMs: 3000}, reason.BackendLate),
+		Entry("by answering others", standin.Faults{WrongID: true}, reason.BackendDisconnected),
+		Entry("by being late", standin.Faults{DelayMs: 3000}, reason.BackendTimeout),
 	)
 
 	It("says not run when nothing listens", func() {
@@ -240,7 +240,7 @@
 			s.Close()
 		}
 		r := b.chat(ask)
-		Expect(r.reason).To(Equal(reason.NotReached.Code))
+		Expect(r.reason).To(Equal(reason.BackendUnreachable.Code))
 		Expect(r.outcome).To(Equal("not-run"))
 	})
 
@@ -253,7 +253,7 @@
 			Expect(err).To(HaveOccurred())
 			Expect(r.err).To(HaveOccurred(), "the connection must break")
 			Expect(r.body).To(ContainSubstring("event: error"))
-			Expect(r.body).To(ContainSubstring(reason.StreamBroke.Code))
+			Expect(r.body).To(ContainSubstring(reason.StreamInterrupted.Code))
 		},
 		Entry("that broke off", standin.Faults{BreakAfter: 300}),
 		Entry("that ended without its last event", standin.Faults{NoLastEvent: true}),
@@ -271,7 +271,7 @@
 				Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 			}
 			Expect(b.engines[1].Account().Resumed).To(BeNumerically(">", 0))
-			Expect(testutil.ToFloat64(b.meters.Count(meter.RetriesMade, reason.RetryStream.Code))).To(BeNumerically(">", 0))
+			Expect(testutil.ToFloat64(b.meters.Count(meter.Retries, reason.RetryInterrupted.Code))).To(BeNumerically(">", 0))
 		})
 		It("goes on at the same server when there is no other", func() {
 			b.both(standin.Faults{BreakAfter: 1000}) // two breaks
@@ -299,9 +299,9 @@
 						continue
 					}
 					Expect(r.err).To(HaveOccurred(), "the connection must break")
-					Expect(r.body).To(ContainSubstring(reason.StreamBroke.Code))
+					Expect(r.body).To(ContainSubstring(reason.StreamInterrupted.Code))
 				}
-				Expect(b.refusals(reason.StreamBroke)).To(BeNumerically(">", 0))
+				Expect(b.refusals(reason.StreamInterrupted)).To(BeNumerically(">", 0))
 			},
 			Entry("go on for ever", func() { b.both(standin.Faults{BreakAfter: 100}) }),
 			Entry("go on with another version", func() {
@@ -319,7 +319,7 @@
 			r := b.chat(stream)
 			Expect(standin.ReadStream(strings.NewReader(r.body))).To(HaveSuffix("w19"))
 		}
-		Expect(testutil.ToFloat64(b.meters.Count(meter.RetriesMade, reason.RetryStream.Code))).To(BeNumerically(">", 0))
+		Expect(testutil.ToFloat64(b.meters.Count(meter.Retries, reason.RetryInterrupted.Code))).To(BeNumerically(">", 0))
 	})
 
 	DescribeTable("never says not run when an earlier attempt ran",
@@ -357,7 +357,7 @@
 	})
 
 	It("counts a stream as in time only if its first event is", func() {
-		inTime := func() float64 { return testutil.ToFloat64(b.meters.Count(meter.InTime, "c")) }
+		inTime := func() float64 { return testutil.ToFloat64(b.meters.Count(meter.RequestsInTime, "c")) }
 		Expect(b.chat(stream).outcome).To(Equal("done"))
 		Expect(inTime()).To(BeEquivalentTo(1))
 		b.both(standin.Faults{DelayMs: 1200})
@@ -393,7 +393,7 @@
 	It("sends a call that may not be repeated once, whatever happens", func() {
 		b.shop.Set(standin.Faults{BreakBefore: true})
 		r := b.do("POST", "/services/shop/orders", "two", entry.HeaderRequestID, "order1")
-		Expect(r.reason).To(Equal(reason.BackendBroke.Code))
+		Expect(r.reason).To(Equal(reason.BackendDisconnected.Code))
 		Expect(r.outcome).To(Equal("unknown"))
 		Expect(b.shop.Account().Ran).To(Equal(map[string]int{"order1": 1}))
 	})
@@ -410,7 +410,7 @@
 				switch r := b.chat(ask); {
 				case r.status == http.StatusOK:
 					ok.Add(1)
-				case r.reason == reason.BackendLate.Code:
+				case r.reason == reason.BackendTimeout.Code:
 					late.Add(1)
 				default:
 					Expect(r.reason).To(Equal(reason.Overloaded.Code))
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -129,7 +129,7 @@
 	case a.Verdict == claim.OtherCall:
 		return reason.KeyMismatch
 	case a.Verdict != claim.Taken || a.Conflict == nil:
-		return reason.NoClaim
+		return reason.ClaimUnavailable
 	case a.Conflict.Result == nil && e.opts.Claims.AgeOf(a.Conflict) < j.target.Class.Deadline+runningSlack:
 		return reason.KeyInProgress
 	case a.Conflict.Result == nil || a.Conflict.Result.Outcome == string(reason.Unknown):
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -87,7 +87,7 @@
 	d.Update(st)
 	box := httptest.NewServer(entry.New(entry.Options{
 		Directory: d, View: l.agreed.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
-		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1000, Pushback: said,
+		Meters: meter.New(), Records: record.NewHistory(100), MaxBody: 1000, Pushback: said,
 	}))
 	t.Cleanup(box.Close)
 	return box
--- a/entry/patience.go
+++ b/entry/patience.go
@@ -107,7 +107,7 @@
 	answer, failure := e.opts.Sender.Send(ctx, a)
 	timer.Stop()
 	if failure != nil && errors.Is(context.Cause(ctx), errSlow) {
-		failure = &proxy.Failure{Outcome: reason.Unknown, Reason: reason.BackendLate, Cause: errSlow}
+		failure = &proxy.Failure{Outcome: reason.Unknown, Reason: reason.BackendTimeout, Cause: errSlow}
 	}
 	if failure == nil || errors.Is(failure.Cause, errSlow) {
 		e.patience.learn(j.kind, time.Since(began))
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -60,7 +60,7 @@
 
 // refusedFor is a refusal before anything was sent. Callers that one limit or rest refuses come back apart from each other.
 func refusedFor(j *job, why *reason.Reason) result {
-	if why != reason.ServersLimited && why != reason.ServersResting {
+	if why != reason.ServersLimited && why != reason.ServersInBackoff {
 		return result{why: why}
 	}
 	return result{why: why, after: j.takenAfter + time.Duration(rand.Int64N(int64(time.Second)))}
@@ -81,9 +81,9 @@
 		e.opts.Pushback.Observe(b.Name, j.id, said)
 		rests = said.Backoff > 0
 	}
-	if failure != nil && (failure.Reason == reason.NotReached || failure.Reason == reason.ServersResting) {
+	if failure != nil && (failure.Reason == reason.BackendUnreachable || failure.Reason == reason.ServersInBackoff) {
 		j.permit.Release()
 	}
 	j.permit = pushback.Permit{}
-	return rests || failure != nil && failure.Reason == reason.ServersResting
+	return rests || failure != nil && failure.Reason == reason.ServersInBackoff
 }
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -34,7 +34,7 @@
 		e.opts.Meters.CountWorkspace(j.owner.Name, workspace.RefusalReason(refusal).Code)
 		return refusedByQuota(refusal)
 	}
-	e.opts.Meters.CountWorkspace(j.owner.Name, meter.Borne)
+	e.opts.Meters.CountWorkspace(j.owner.Name, meter.Permitted)
 	res := e.try(ctx, j)
 	if res.why != nil && res.why.Outcome == reason.NotRun {
 		charge.Release()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -220,10 +220,10 @@
 		return false
 	}
 	if !e.budget.retry() {
-		e.opts.Meters.Count(meter.RetriesSpent).Inc()
+		e.opts.Meters.Count(meter.RetriesDenied).Inc()
 		return false
 	}
-	e.opts.Meters.Retry(retry)
+	e.opts.Meters.CountRetry(retry)
 	return wait.For(ctx, e.budget.jitter(j.tries-1))
 }
 
@@ -231,16 +231,16 @@
 // may not.
 func retryReason(j *job, f *proxy.Failure) *reason.Reason {
 	switch {
-	case f.Reason == reason.NotReached:
-		return reason.RetryUnreached
+	case f.Reason == reason.BackendUnreachable:
+		return reason.RetryUnreachable
 	case f.Outcome == reason.NotRun && j.rested:
-		return reason.RetryResting
+		return reason.RetryBackoff
 	case f.Outcome == reason.NotRun:
 		return reason.RetryRefused
 	case !j.repeatable:
 		return nil
-	case f.Reason == reason.BackendBroke:
-		return reason.RetryBroke
+	case f.Reason == reason.BackendDisconnected:
+		return reason.RetryDisconnected
 	case f.Reason == reason.BackendFailed:
 		return reason.RetryFailed
 	case errors.Is(f.Cause, errSlow):
@@ -282,7 +282,7 @@
 	b.RecordLate(now)
 	if b.RecordFailure(now) {
 		e.opts.Meters.Count(meter.Ejections).Inc()
-		e.opts.Records.Note(record.Server, b.Name, "ejected", f.Cause.Error())
+		e.opts.Records.Add(record.Server, b.Name, "ejected", f.Cause.Error())
 	}
 }
 
@@ -353,14 +353,14 @@
 // breakOff makes sure that a part of an answer is not taken for the whole: a
 // stream gets an error event, and the connection breaks without its last chunk.
 func (e *Entry) breakOff(w http.ResponseWriter, j *job, b *route.Backend, isStream bool, cause error) {
-	e.opts.Meters.Refuse(reason.StreamBroke)
+	e.opts.Meters.CountRefusal(reason.StreamInterrupted)
 	if b != nil { // else it was blamed before the stream was to go on elsewhere
-		e.noteBroken(j, b, reason.StreamBroke)
-		e.blame(b, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: cause})
+		e.noteBroken(j, b, reason.StreamInterrupted)
+		e.blame(b, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamInterrupted, Cause: cause})
 	}
 	e.finished(j, string(reason.Unknown), cause.Error())
 	if isStream {
-		body, err := json.Marshal(errorBody(j.id, reason.StreamBroke, "", 0))
+		body, err := json.Marshal(errorBody(j.id, reason.StreamInterrupted, "", 0))
 		if err == nil {
 			fmt.Fprintf(w, "event: error\ndata: %s\n\n", body)
 			_ = http.NewResponseController(w).Flush()
@@ -373,9 +373,9 @@
 func (e *Entry) finished(j *job, outcome, detail string) {
 	took := time.Since(j.arrived)
 	e.opts.Meters.Count(meter.Requests, j.class(), outcome).Inc()
-	e.opts.Meters.Observe(meter.Duration, j.class()).Observe(took.Seconds())
+	e.opts.Meters.Observer(meter.RequestDuration, j.class()).Observe(took.Seconds())
 	if outcome == string(reason.Done) && took <= j.target.Class.Deadline && !j.firstLate {
-		e.opts.Meters.Count(meter.InTime, j.class()).Inc()
+		e.opts.Meters.Count(meter.RequestsInTime, j.class()).Inc()
 	}
-	e.opts.Records.Note(record.Request, j.id, outcome+" as "+j.target.Name, detail)
+	e.opts.Records.Add(record.Request, j.id, outcome+" as "+j.target.Name, detail)
 }
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -37,11 +37,11 @@
 			return err
 		}
 		broke := res.backend
-		e.noteBroken(j, broke, reason.StreamBroke)
+		e.noteBroken(j, broke, reason.StreamInterrupted)
 		if e.suspected(j) {
 			return err
 		}
-		e.blame(broke, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: err})
+		e.blame(broke, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamInterrupted, Cause: err})
 		e.gate.Release(broke, j.ticket, 0)
 		*res = result{}
 		for res.answer == nil {
@@ -82,14 +82,14 @@
 // that gives them, by the same version of the weights, it returns no answer.
 func (e *Entry) resume(ctx context.Context, j *job, broke *route.Backend, at uint64, version string) result {
 	if !e.budget.retry() {
-		e.opts.Meters.Count(meter.RetriesSpent).Inc()
+		e.opts.Meters.Count(meter.RetriesDenied).Inc()
 		return result{}
 	}
 	b := e.enterAgain(ctx, j, broke)
 	if b == nil {
 		return result{}
 	}
-	e.opts.Meters.Retry(reason.RetryStream)
+	e.opts.Meters.CountRetry(reason.RetryInterrupted)
 	again := *j
 	again.attempt.Header = j.attempt.Header.Clone()
 	again.attempt.Header.Set(engine.HeaderLastEvent, strconv.FormatUint(at, 10))
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -57,9 +57,9 @@
 		want             *reason.Reason // nil: the request is sent to the copy
 	}{
 		{"copy is ready first", 5 * time.Second, time.Second, nil},
-		{"backoff ends first", time.Second, 2 * time.Second, reason.ServersResting},
-		{"no copy is loading", 5 * time.Second, 0, reason.ServersResting},
-		{"copy is ready after the caller's patience", 20 * time.Second, 4 * time.Second, reason.ServersResting},
+		{"backoff ends first", time.Second, 2 * time.Second, reason.ServersInBackoff},
+		{"no copy is loading", 5 * time.Second, 0, reason.ServersInBackoff},
+		{"copy is ready after the caller's patience", 20 * time.Second, 4 * time.Second, reason.ServersInBackoff},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -64,7 +64,7 @@
 // readSized reads a body whose length the request states.
 func readSized(r *http.Request, reservation *bodyReservation) ([]byte, *reason.Reason) {
 	if !reservation.grow(r.ContentLength) {
-		return nil, reason.BodiesFull
+		return nil, reason.BodyMemoryFull
 	}
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
@@ -80,7 +80,7 @@
 		if len(body) == cap(body) {
 			step := min(max(initialBodyStep, len(body)), int(limit)+1-len(body))
 			if !reservation.grow(int64(step)) {
-				return nil, reason.BodiesFull
+				return nil, reason.BodyMemoryFull
 			}
 			body = append(make([]byte, 0, len(body)+step), body...)
 		}
--- a/gateway/body_test.go
+++ b/gateway/body_test.go
@@ -33,7 +33,7 @@
 	g.Expect(got).To(Equal(text))
 	for _, body := range []io.Reader{bytes.NewReader(text), unsizedReader{bytes.NewReader(text)}} {
 		h, _, refusal := read(body)
-		g.Expect(refusal).To(Equal(reason.BodiesFull))
+		g.Expect(refusal).To(Equal(reason.BodyMemoryFull))
 		h.release()
 	}
 	g.Expect(all.used.Load()).To(BeEquivalentTo(len(text)))
--- a/gateway/crashers.go
+++ b/gateway/crashers.go
@@ -61,7 +61,7 @@
 	j.brokenAttempts++
 	b := crasher.FailedAttempt{Fingerprint: j.print(), SentAt: j.arrived.Add(j.sentAfter), FirstEventAt: j.firstEventAt, FailedAt: now, Unresponsive: f.unresponsive}
 	check := func() crasher.Liveness { return j.g.checkServer(s, now) }
-	if f.reason == reason.BackendLate || j.r.Context().Err() != nil {
+	if f.reason == reason.BackendTimeout || j.r.Context().Err() != nil {
 		b.Unresponsive, check = true, nil
 	}
 	j.g.crashWatch.RecordFailure(s.crasherID(), b, check)
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -126,13 +126,13 @@
 func exchange(ctx context.Context, to *connPool, o *outgoing, idHeader string, silence time.Duration, mayAbort func() bool) (*response, *failure) {
 	x, _, err := to.get(ctx)
 	if err != nil {
-		f := notRun(reason.NotReached, err)
+		f := notRun(reason.BackendUnreachable, err)
 		f.dialFailed = !errors.Is(err, ErrConnectionLimit)
 		return nil, f
 	}
 	if o.sendable != nil && !o.sendable() {
 		to.put(x)
-		return nil, notRun(reason.ServersResting, ErrInBackoff)
+		return nil, notRun(reason.ServersInBackoff, ErrInBackoff)
 	}
 	a := &response{conn: x, pool: to}
 	// A deadline in the past interrupts reads and writes in progress.
@@ -151,14 +151,14 @@
 		unresponsive := a.watch.stop()
 		to.drop(x)
 		if unresponsive {
-			f := unknown(reason.BackendSilent, Error.Wrap(err))
+			f := unknown(reason.BackendUnresponsive, Error.Wrap(err))
 			f.unresponsive = true
 			return nil, f
 		}
 		if ctx.Err() != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return nil, unknown(reason.BackendLate, Error.Wrap(err))
+			return nil, unknown(reason.BackendTimeout, Error.Wrap(err))
 		}
-		return nil, unknown(reason.BackendBroke, Error.Wrap(err))
+		return nil, unknown(reason.BackendDisconnected, Error.Wrap(err))
 	}
 	return a, nil
 }
@@ -190,9 +190,9 @@
 	case err == nil:
 		return nil
 	case n == 0:
-		return notRun(reason.NotReached, Error.Wrap(err))
+		return notRun(reason.BackendUnreachable, Error.Wrap(err))
 	}
-	return unknown(reason.BackendBroke, Error.Wrap(err))
+	return unknown(reason.BackendDisconnected, Error.Wrap(err))
 }
 
 // read reads the head of the response to this request. It skips responses to other requests: they
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -198,7 +198,7 @@
 	case g.stopped():
 		return reason.Stopping, nil
 	case t.routes == nil:
-		return reason.NoFleet, nil
+		return reason.NoFleetFile, nil
 	case !current:
 		return reason.NotCurrent, nil
 	}
@@ -222,7 +222,7 @@
 // refuse answers a request with a refusal. after sets the Retry-After; 0 selects the default of
 // the reason.
 func (g *Gateway) refuse(w http.ResponseWriter, id string, refusal *reason.Reason, after time.Duration) {
-	g.opts.Meters.Refuse(refusal)
+	g.opts.Meters.CountRefusal(refusal)
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set(headerReason, refusal.Code)
@@ -233,7 +233,7 @@
 		after = refusal.RetryAfter
 	}
 	hasRetryAfter := refusal.Status == http.StatusServiceUnavailable || refusal.Status == http.StatusTooManyRequests
-	if hasRetryAfter && after > 0 && refusal != reason.BeyondQuota {
+	if hasRetryAfter && after > 0 && refusal != reason.ExceedsQuota {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 	body := refusal.Code + ": " + refusal.Title + "\n"
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -359,7 +359,7 @@
 	retried := s.logged.FilterMessage(event.RequestRetried.Title).All()
 	g.Expect(retried).To(HaveLen(1), "the first attempt is logged")
 	g.Expect(retried[0].ContextMap()).To(And(
-		HaveKeyWithValue("request", "r1"), HaveKeyWithValue("why", reason.RetryStream.Code),
+		HaveKeyWithValue("request", "r1"), HaveKeyWithValue("why", reason.RetryInterrupted.Code),
 		HaveKeyWithValue("sends", BeEquivalentTo(1)), HaveKey("server"), HaveKey("error"), HaveKey("left")))
 
 	once := newSetup(t, 5*time.Second, newBackend(t, "i3", breakOff("s3")))
--- a/gateway/giveup.go
+++ b/gateway/giveup.go
@@ -40,13 +40,13 @@
 		panic(http.ErrAbortHandler) // closes the caller's connection
 	}
 	if j.possibleRuns > 0 && refusal.Outcome == reason.NotRun {
-		refusal = reason.BackendBroke
+		refusal = reason.BackendDisconnected
 		if j.remaining() < minRemaining {
-			refusal = reason.BackendLate
+			refusal = reason.BackendTimeout
 		}
 	}
 	if refusal.Status == 0 {
-		refusal = reason.BackendBroke
+		refusal = reason.BackendDisconnected
 	}
 	j.g.refuse(j.w, j.id, refusal, j.retryAfterFor(refusal))
 }
@@ -55,11 +55,11 @@
 func (j *job) retryAfterFor(refusal *reason.Reason) time.Duration {
 	soon := time.Duration(retryAfterShare * float64(j.route.Aim))
 	switch refusal {
-	case reason.Overloaded, reason.OverQuota, reason.QuotaUnsure:
+	case reason.Overloaded, reason.OverQuota, reason.QuotaUnknown:
 		return max(soon, time.Duration(j.queueDelay*float64(time.Millisecond)))
 	case reason.ServersLimited:
 		return max(soon, withJitter(j.retryAfter))
-	case reason.ServersResting:
+	case reason.ServersInBackoff:
 		return min(j.retryAfter+backoffJitter(j.retryAfter), j.remaining())
 	case reason.NotResident, reason.BackendRefused:
 		return j.retryAfterForModel(refusal, soon)
@@ -97,7 +97,7 @@
 		fields = append(fields, zap.String("server", j.tried[n-1].id))
 	}
 	if f != nil {
-		fields = append(fields, zap.String("last", f.reason.Code), event.Cause(f.cause), j.fingerprintField(f))
+		fields = append(fields, zap.String("last", f.reason.Code), event.ErrorField(f.cause), j.fingerprintField(f))
 	}
 	if outcome == reason.CrashesServers.Code && f == nil {
 		fields = append(fields, zap.Stringer("print", j.print()))
--- a/gateway/job.go
+++ b/gateway/job.go
@@ -108,7 +108,7 @@
 			if j.status == http.StatusOK && j.forKnownModel() {
 				j.g.slotTimes.record(j.prompt.Model, time.Since(j.arrived)-j.sentAfter)
 			}
-			j.g.opts.Meters.Observe(meter.Duration, j.route.Name).Observe(time.Since(j.arrived).Seconds())
+			j.g.opts.Meters.Observer(meter.RequestDuration, j.route.Name).Observe(time.Since(j.arrived).Seconds())
 			j.recordServed()
 			j.logDone()
 			return
@@ -155,7 +155,7 @@
 func (j *job) attempt(ctx context.Context, c choice) (answered bool) {
 	if j.remaining() < minRemaining {
 		j.releasePermit()
-		j.giveUp(reason.BackendLate)
+		j.giveUp(reason.BackendTimeout)
 		return true
 	}
 	if j.attempts == 0 {
--- a/gateway/pushback.go
+++ b/gateway/pushback.go
@@ -90,7 +90,7 @@
 
 // blockFields adds log fields for a request that servers' limits or backoff refused.
 func (j *job) blockFields(outcome string) []zap.Field {
-	if outcome != reason.ServersLimited.Code && outcome != reason.ServersResting.Code {
+	if outcome != reason.ServersLimited.Code && outcome != reason.ServersInBackoff.Code {
 		return nil
 	}
 	fields := []zap.Field{zap.Duration("taken_after", j.retryAfter), zap.Int("rank", j.rank())}
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -26,7 +26,7 @@
 	usage := j.g.opts.Dialect.Usage(j.r.Header)
 	charge, denied := j.g.opts.Quotas.Take(ctx, rate.Key{Name: j.owner.Name}, j.owner.Quota.Limit(), j.owner.Quota.Weigh(usage))
 	if denied == nil {
-		j.g.opts.Meters.CountWorkspace(j.owner.Name, meter.Borne)
+		j.g.opts.Meters.CountWorkspace(j.owner.Name, meter.Permitted)
 		return charge, nil
 	}
 	j.queueDelay = milliseconds(withJitter(denied.RetryAfter))
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -84,7 +84,7 @@
 	s := quotaSetup(t, workspace.Quota{Unit: workspace.Tokens, Rate: 100, Burst: 100}, false)
 	answer := s.send(requestWithTokens("901"))
 	g.Expect(answer).To(HavePrefix("HTTP/1.1 429 "))
-	g.Expect(answer).To(ContainSubstring(reason.BeyondQuota.Code))
+	g.Expect(answer).To(ContainSubstring(reason.ExceedsQuota.Code))
 	g.Expect(answer).NotTo(ContainSubstring("Retry-After"))
 }
 
@@ -105,5 +105,5 @@
 	for range 5 {
 		answers = append(answers, s.send(requestWithTokens("500")))
 	}
-	g.Expect(answers).To(ContainElement(And(HavePrefix("HTTP/1.1 503 "), ContainSubstring(reason.QuotaUnsure.Code), ContainSubstring("Retry-After: "))))
+	g.Expect(answers).To(ContainElement(And(HavePrefix("HTTP/1.1 503 "), ContainSubstring(reason.QuotaUnknown.Code), ContainSubstring("Retry-After: "))))
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -66,7 +66,7 @@
 func (j *job) relayWhole(ctx context.Context, s *server, a *response, onFirstEvent func()) (answered bool) {
 	if j.headSent { // a stream was to resume, and this is none
 		a.discard()
-		return j.handleFailure(ctx, s, unknown(reason.StreamBroke, Error.New("stream cannot resume: the server answered with status %d", a.StatusCode)))
+		return j.handleFailure(ctx, s, unknown(reason.StreamInterrupted, Error.New("stream cannot resume: the server answered with status %d", a.StatusCode)))
 	}
 	body, err := io.ReadAll(io.LimitReader(a.Body, answerBuffer))
 	if err != nil {
@@ -101,7 +101,7 @@
 		s.recordFailure(time.Now())
 		j.lastFailure = j.bodyFailure(ctx, err)
 		j.recordBroken(s, j.lastFailure)
-		j.giveUp(reason.BackendBroke)
+		j.giveUp(reason.BackendDisconnected)
 	}
 	return true
 }
@@ -109,9 +109,9 @@
 // bodyFailure returns the failure for an error while reading a body.
 func (j *job) bodyFailure(ctx context.Context, err error) *failure {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return unknown(reason.BackendLate, Error.Wrap(err))
+		return unknown(reason.BackendTimeout, Error.Wrap(err))
 	}
-	return unknown(reason.BackendBroke, Error.Wrap(err))
+	return unknown(reason.BackendDisconnected, Error.Wrap(err))
 }
 
 // errGivenUp is returned where a response began after its exchange was aborted for silence.
@@ -173,7 +173,7 @@
 		s.recordFailure(time.Now())
 		j.lastFailure = f
 		j.recordBroken(s, f)
-		j.giveUp(reason.StreamBroke)
+		j.giveUp(reason.StreamInterrupted)
 		return true
 	}
 	j.stream.dropPartial()
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -26,7 +26,7 @@
 		return notRun(reason.BackendRefused, Error.New("the server answered %d, not run", a.StatusCode))
 	case a.Header.Get(d.Stamp) == "" && a.StatusCode < http.StatusMultipleChoices:
 		a.tainted = true
-		return unknown(reason.BackendBroke, Error.New("the response lacks the server's stamp"))
+		return unknown(reason.BackendDisconnected, Error.New("the response lacks the server's stamp"))
 	}
 	return nil
 }
@@ -88,7 +88,7 @@
 		return false
 	}
 	if ctx.Err() != nil && f.outcome != reason.NotRun {
-		j.giveUp(reason.BackendLate)
+		j.giveUp(reason.BackendTimeout)
 		return true
 	}
 	j.giveUp(f.reason)
@@ -161,29 +161,29 @@
 	if j.retryGranted.Swap(false) || j.g.budgets.takeRetry(j.poolName) {
 		return true
 	}
-	j.g.opts.Meters.Count(meter.RetriesSpent).Inc()
+	j.g.opts.Meters.Count(meter.RetriesDenied).Inc()
 	return false
 }
 
 // recordRetry counts a retry and logs it.
 func (j *job) recordRetry(f *failure) {
-	retryReason := reason.RetryBroke
+	retryReason := reason.RetryDisconnected
 	switch {
 	case j.headSent:
-		retryReason = reason.RetryStream
+		retryReason = reason.RetryInterrupted
 	case f.dialFailed:
-		retryReason = reason.RetryUnreached
+		retryReason = reason.RetryUnreachable
 	case !j.g.opts.Pushback.Sendable(j.tried[len(j.tried)-1].id):
-		retryReason = reason.RetryResting
+		retryReason = reason.RetryBackoff
 	case f.outcome == reason.NotRun:
 		retryReason = reason.RetryRefused
 	case f.outcome == reason.Failed:
 		retryReason = reason.RetryFailed
 	}
-	j.g.opts.Meters.Retry(retryReason)
+	j.g.opts.Meters.CountRetry(retryReason)
 	event.RequestRetried.Log(j.g.opts.Log,
 		zap.String("request", j.id), zap.String("route", j.route.Name), zap.String("outcome", f.reason.Code), zap.String("why", retryReason.Code),
-		zap.Int("sends", j.attempts), zap.Int("runs", j.possibleRuns), zap.String("server", j.tried[len(j.tried)-1].id), event.Cause(f.cause), zap.Duration("left", j.remaining()), j.fingerprintField(f))
+		zap.Int("sends", j.attempts), zap.Int("runs", j.possibleRuns), zap.String("server", j.tried[len(j.tried)-1].id), event.ErrorField(f.cause), zap.Duration("left", j.remaining()), j.fingerprintField(f))
 }
 
 // fingerprintField adds the request's fingerprint to log lines of attempts that may have run, so
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -67,7 +67,7 @@
 	j.responseStarted.Store(true)
 	mayAbort := j.abortCheck(list[0])
 	g.Expect(mayAbort()).To(BeTrue())
-	unresponsive := &failure{outcome: reason.Unknown, reason: reason.BackendSilent, unresponsive: true}
+	unresponsive := &failure{outcome: reason.Unknown, reason: reason.BackendUnresponsive, unresponsive: true}
 	g.Expect(j.mayRetry(unresponsive)).To(BeTrue(), "the retry was taken from the budget when the exchange was aborted")
 	g.Expect(j.mayRetry(unresponsive)).To(BeFalse(), "once")
 	g.Expect(mayAbort()).To(BeFalse(), "the budget is exhausted")
--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -9,11 +9,11 @@
 // Seed is the seed of all property tests.
 const Seed = 20261202
 
-// Rapid sets the flags of pgregory.net/rapid, which the test must import, to a
+// SetRapidFlags sets the flags of pgregory.net/rapid, which the test must import, to a
 // fixed seed and a count of runs, and bounds the time that a failure is made
 // smaller. Flags on the command line go before it. It is to be called from
 // TestMain.
-func Rapid(runs int) {
+func SetRapidFlags(runs int) {
 	flag.Parse()
 	given := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
--- a/level/level.go
+++ b/level/level.go
@@ -30,8 +30,8 @@
 	Workspaces
 	// ServerLimits: what backend servers name as their limits is agreed.
 	ServerLimits
-	// ServerRests: boxes tell the leader of long rests that backend servers ask for.
-	ServerRests
+	// ServerBackoffs: boxes tell the leader of long rests that backend servers ask for.
+	ServerBackoffs
 	// Evacuations: data halls whose backend servers get nothing are agreed, and so is which servers warm up.
 	Evacuations
 	// end is behind the newest.
@@ -43,11 +43,11 @@
 
 // rows say what each level brought, for people.
 var rows = [end]string{
-	First:        "the agreed state of the first builds",
-	Workspaces:   "workspaces in fleet files",
-	ServerLimits: "limits that backend servers name",
-	ServerRests:  "long rests that backend servers ask for",
-	Evacuations:  "evacuations of data halls, and servers that warm up",
+	First:          "the agreed state of the first builds",
+	Workspaces:     "workspaces in fleet files",
+	ServerLimits:   "limits that backend servers name",
+	ServerBackoffs: "long rests that backend servers ask for",
+	Evacuations:    "evacuations of data halls, and servers that warm up",
 }
 
 func (l Level) String() string {
--- a/meter/names.go
+++ b/meter/names.go
@@ -35,11 +35,11 @@
 
 // CountWorkspace counts a request of a workspace that ended with an outcome: a reason's code, or Borne.
 func (m *Meters) CountWorkspace(workspace, outcome string) {
-	m.Count(Workspaces, m.named.of(workspace), outcome).Inc()
+	m.Count(WorkspaceRequests, m.named.of(workspace), outcome).Inc()
 }
 
 // The outcomes of requests that a limit bore, and of those that it did not.
 const (
-	Borne    = "borne"
-	NotBorne = "not-borne"
+	Permitted = "borne"
+	Denied    = "not-borne"
 )
--- a/meter/names_test.go
+++ b/meter/names_test.go
@@ -12,8 +12,8 @@
 	m := New()
 	m.named = newNames(2)
 	for _, name := range []string{"a", "b", "c", "d", "a"} {
-		m.CountWorkspace(name, Borne)
+		m.CountWorkspace(name, Permitted)
 	}
-	g.Expect(testutil.ToFloat64(m.Count(Workspaces, "a", Borne))).To(Equal(2.0))
-	g.Expect(testutil.ToFloat64(m.Count(Workspaces, otherNames, Borne))).To(Equal(2.0))
+	g.Expect(testutil.ToFloat64(m.Count(WorkspaceRequests, "a", Permitted))).To(Equal(2.0))
+	g.Expect(testutil.ToFloat64(m.Count(WorkspaceRequests, otherNames, Permitted))).To(Equal(2.0))
 }
--- a/peer/call.go
+++ b/peer/call.go
@@ -69,7 +69,7 @@
 
 func (p *Pool) callOnSession(ctx context.Context, l *link, s *session, r *wire.Request) (*wire.Response, error) {
 	s.recordRequest()
-	p.meters.Count(meter.PeerCalls, "out").Inc()
+	p.meters.Count(meter.PeerMessages, "out").Inc()
 	done := make(chan callResult, 1)
 	before := s.conn.received.Load()
 	go func() {
@@ -94,7 +94,7 @@
 // and reports them in the error. Only this figure distinguishes a slow sender from an
 // unresponsive one.
 func (p *Pool) abandoned(ctx context.Context, bytes int64) error {
-	p.meters.Count(meter.PeerGivenUp).Add(float64(bytes))
+	p.meters.Count(meter.PeerAbandonedBytes).Add(float64(bytes))
 	return Error.New("%w after %d bytes from the box", context.Cause(ctx), bytes)
 }
 
--- a/peer/link.go
+++ b/peer/link.go
@@ -192,7 +192,7 @@
 	c, err := startTLS(ctx, &countedConn{monitored, p.meters}, p.tls.Client(box), false)
 	if err != nil {
 		raw.Close()
-		p.meters.Refuse(reason.PeerTLS)
+		p.meters.CountRefusal(reason.PeerTLS)
 		return nil, err
 	}
 	reads := newPendingReads()
@@ -237,7 +237,7 @@
 		return nil, &RefusedError{r.Code, r.Text}
 	}
 	if r := checkHello(p.id, theirs, certifiedName(c)); r != nil {
-		p.meters.Refuse(r)
+		p.meters.CountRefusal(r)
 		return nil, &RefusedError{r.Code, r.Title}
 	}
 	return theirs.Self, adoptClusterID(p.id, theirs)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -221,7 +221,7 @@
 		Entry("a request of an unknown kind", func(y *yamux.Session) {
 			exchangeHello(y, peer.Version)
 			send(y, []byte{0})
-		}, reason.PeerUnknown),
+		}, reason.PeerUnknownRequest),
 		Entry("a message sent as another member", func(y *yamux.Session) {
 			exchangeHello(y, peer.Version)
 			send(y, frame(&wire.Request{Kind: &wire.Request_Consensus{Consensus: &wire.ConsensusStream{}}}), frame(&wire.Message{From: "one/i", Term: 9}))
--- a/peer/send.go
+++ b/peer/send.go
@@ -63,7 +63,7 @@
 		p.link(box).dropCurrent()
 		return nil
 	}
-	p.meters.Count(meter.PeerCalls, "out").Inc()
+	p.meters.Count(meter.PeerMessages, "out").Inc()
 	return stream
 }
 
--- a/peer/server.go
+++ b/peer/server.go
@@ -72,7 +72,7 @@
 	defer stop()
 	c, err := s.handshakeTLS(&countedConn{raw, s.meters})
 	if err != nil {
-		s.meters.Refuse(reason.PeerTLS)
+		s.meters.CountRefusal(reason.PeerTLS)
 		return
 	}
 	reads := newPendingReads()
@@ -101,18 +101,18 @@
 	defer timer.Stop()
 	stream, err := y.AcceptStream()
 	if err != nil {
-		s.meters.Refuse(reason.PeerMalformed)
+		s.meters.CountRefusal(reason.PeerMalformed)
 		return nil, Error.Wrap(err)
 	}
 	defer stream.Close()
 	theirs := &wire.Hello{}
 	if err := readSingleFrame(stream, maxHello, theirs); err != nil {
-		s.meters.Refuse(reason.PeerMalformed)
+		s.meters.CountRefusal(reason.PeerMalformed)
 		return nil, err
 	}
 	ours := hello(s.id)
 	if r := checkHello(s.id, theirs, certifiedName(c)); r != nil {
-		s.meters.Refuse(r)
+		s.meters.CountRefusal(r)
 		ours.Refusal = refusal(r)
 		err := writeFrame(stream, ours)
 		s.awaitClose(y)
@@ -153,18 +153,18 @@
 	defer releaseReader(r)
 	request := &wire.Request{}
 	if err := readFrame(r, maxFrame, request); err != nil {
-		s.meters.Refuse(reason.PeerMalformed)
+		s.meters.CountRefusal(reason.PeerMalformed)
 		return
 	}
-	s.meters.Count(meter.PeerCalls, "in").Inc()
+	s.meters.Count(meter.PeerMessages, "in").Inc()
 	if request.GetConsensus() != nil {
 		s.consensus(from, r)
 		return
 	}
 	response := s.handler.Answer(ctx, from, request)
 	if response == nil {
-		s.meters.Refuse(reason.PeerUnknown)
-		response = &wire.Response{Refusal: refusal(reason.PeerUnknown)}
+		s.meters.CountRefusal(reason.PeerUnknownRequest)
+		response = &wire.Response{Refusal: refusal(reason.PeerUnknownRequest)}
 	}
 	// A write error means that the peer disconnected; there is nothing left to do.
 	_ = writeFrame(stream, response)
@@ -179,9 +179,9 @@
 		if err := readFrame(r, maxFrame, m); err != nil {
 			return
 		}
-		s.meters.Count(meter.PeerCalls, "in").Inc()
+		s.meters.Count(meter.PeerMessages, "in").Inc()
 		if m.From != sender {
-			s.meters.Refuse(reason.PeerMalformed)
+			s.meters.CountRefusal(reason.PeerMalformed)
 			return
 		}
 		s.handler.Receive(m)
--- a/placement/convergence_test.go
+++ b/placement/convergence_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestMain(m *testing.M) {
-	fixed.Rapid(10_000) // the rarest fault appeared once in 7,000 runs
+	fixed.SetRapidFlags(10_000) // the rarest fault appeared once in 7,000 runs
 	m.Run()
 }
 
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -192,7 +192,7 @@
 	}
 	CopyEndToEndHeaders(req.Header, a.Header)
 	bodyOf(req, a)
-	req.Header.Set(engine.HeaderID, a.ID)
+	req.Header.Set(engine.HeaderAttemptID, a.ID)
 	transport := s.kept
 	if a.NonRepeatable {
 		transport = s.fresh // (5)
@@ -208,21 +208,21 @@
 func classify(err error, connected bool) *Failure {
 	switch {
 	case errors.Is(err, errNotSendable):
-		return &Failure{Outcome: reason.NotRun, Reason: reason.ServersResting, Cause: Error.Wrap(err)}
+		return &Failure{Outcome: reason.NotRun, Reason: reason.ServersInBackoff, Cause: Error.Wrap(err)}
 	case !connected:
-		return &Failure{Outcome: reason.NotRun, Reason: reason.NotReached, Cause: Error.Wrap(err)}
+		return &Failure{Outcome: reason.NotRun, Reason: reason.BackendUnreachable, Cause: Error.Wrap(err)}
 	case errors.Is(err, context.DeadlineExceeded):
-		return &Failure{Outcome: reason.Unknown, Reason: reason.BackendLate, Cause: Error.Wrap(err)}
+		return &Failure{Outcome: reason.Unknown, Reason: reason.BackendTimeout, Cause: Error.Wrap(err)}
 	}
-	return &Failure{Outcome: reason.Unknown, Reason: reason.BackendBroke, Cause: Error.Wrap(err)}
+	return &Failure{Outcome: reason.Unknown, Reason: reason.BackendDisconnected, Cause: Error.Wrap(err)}
 }
 
 func (s *Sender) receive(a *Attempt, resp *http.Response) (*Response, *Failure) {
-	if id := resp.Header.Get(engine.HeaderID); id != "" && id != a.ID { // (4)
+	if id := resp.Header.Get(engine.HeaderAttemptID); id != "" && id != a.ID { // (4)
 		resp.Body.Close()
-		return nil, &Failure{Outcome: reason.Unknown, Reason: reason.BackendBroke, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the answer is of attempt %q", id)}
+		return nil, &Failure{Outcome: reason.Unknown, Reason: reason.BackendDisconnected, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the answer is of attempt %q", id)}
 	}
-	if resp.Header.Get(engine.HeaderRan) == "true" {
+	if resp.Header.Get(engine.HeaderNotRun) == "true" {
 		resp.Body.Close()
 		return nil, &Failure{Outcome: reason.NotRun, Reason: reason.BackendRefused, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the backend server answered %d, not run", resp.StatusCode)}
 	}
--- a/pushback/pushback.go
+++ b/pushback/pushback.go
@@ -137,7 +137,7 @@
 		r.recordBackoff(rec, server, request, now, report.Backoff)
 	case rec.inBackoff && now >= rec.backoffUntil:
 		rec.inBackoff = false
-		event.ServerRested.Log(r.opts.Log, zap.String("server", server), zap.Duration("rested", rec.backoffUntil-rec.backoffSince), zap.Duration("late", now-rec.backoffUntil))
+		event.ServerBackoffEnded.Log(r.opts.Log, zap.String("server", server), zap.Duration("rested", rec.backoffUntil-rec.backoffSince), zap.Duration("late", now-rec.backoffUntil))
 	}
 	return report.Draining && r.recordDraining(rec, server, request, now, report.DrainTTL)
 }
@@ -163,7 +163,7 @@
 	}
 	if !rec.inBackoff || now-rec.backoffUntil > maxBackoffGap {
 		rec.inBackoff, rec.backoffSince, rec.request = true, now, request
-		event.ServerResting.Log(r.opts.Log, zap.String("server", server), zap.String("request", request), zap.Duration("rest", backoff))
+		event.ServerInBackoff.Log(r.opts.Log, zap.String("server", server), zap.String("request", request), zap.Duration("rest", backoff))
 	}
 	rec.backoffUntil, rec.probedAt = until, 0
 	rec.spread = time.Duration(r.opts.Random() * float64(min(time.Duration(r.opts.Boxes())*spreadPerBox, maxSpread)))
@@ -175,7 +175,7 @@
 			continue
 		}
 		rec.malformedLogged = true
-		event.PushbackMalformed.Log(r.opts.Log, zap.String("server", server), event.Cause(err))
+		event.PushbackMalformed.Log(r.opts.Log, zap.String("server", server), event.ErrorField(err))
 	}
 }
 
@@ -219,7 +219,7 @@
 		return Block{}, false
 	}
 	if after, inBackoff := r.backoff(server, rank); inBackoff {
-		return Block{reason.ServersResting, after}, true
+		return Block{reason.ServersInBackoff, after}, true
 	}
 	if after, exhausted := r.opts.Throttle.Exhausted(server, rank); exhausted {
 		return Block{reason.ServersLimited, after}, true
@@ -299,7 +299,7 @@
 	defer r.mu.Unlock()
 	rec := r.records[server]
 	if after, blocked := rec.blockedFor(rank, now); blocked {
-		return 0, &Block{reason.ServersResting, after}
+		return 0, &Block{reason.ServersInBackoff, after}
 	}
 	if rec == nil || !rec.inBackoff {
 		return 0, nil
--- a/pushback/pushback_test.go
+++ b/pushback/pushback_test.go
@@ -68,9 +68,9 @@
 	g.Expect(w.Sendable("s")).To(BeTrue())
 	g.Expect(w.Sendable("another")).To(BeTrue())
 	g.Expect(w.allowed("another", 0)).To(BeTrue())
-	g.Expect(w.logs.FilterMessage(event.ServerResting.Title).Len()).To(Equal(1), "one log line per change")
+	g.Expect(w.logs.FilterMessage(event.ServerInBackoff.Title).Len()).To(Equal(1), "one log line per change")
 	w.respond("s", http.StatusOK)
-	g.Expect(w.logs.FilterMessage(event.ServerRested.Title).Len()).To(Equal(1))
+	g.Expect(w.logs.FilterMessage(event.ServerBackoffEnded.Title).Len()).To(Equal(1))
 }
 
 // After a backoff, more urgent requests go first, one at a time until the server has answered one.
@@ -80,7 +80,7 @@
 	w.reject("s", "1")
 	block, blocked := w.Blocked("s", 2)
 	g.Expect(blocked).To(BeTrue())
-	g.Expect(block.Reason).To(Equal(reason.ServersResting))
+	g.Expect(block.Reason).To(Equal(reason.ServersInBackoff))
 	w.now += time.Second + spreadPerBox
 	g.Expect(w.allowed("s", 0)).To(BeTrue())
 	g.Expect(w.allowed("s", 2)).To(BeFalse())
--- a/pushback/sim_test.go
+++ b/pushback/sim_test.go
@@ -290,7 +290,7 @@
 	for _, server := range []string{"a", "b"} {
 		_, block := w.Acquire(context.Background(), server, 0)
 		g.Expect(block).NotTo(BeNil())
-		g.Expect(block.Reason).To(Equal(reason.ServersResting))
+		g.Expect(block.Reason).To(Equal(reason.ServersInBackoff))
 		g.Expect(block.RetryAfter).To(BeNumerically("<=", 2*time.Second+10*spreadPerBox))
 	}
 }
--- a/rate/main_test.go
+++ b/rate/main_test.go
@@ -7,6 +7,6 @@
 )
 
 func TestMain(m *testing.M) {
-	fixed.Rapid(100)
+	fixed.SetRapidFlags(100)
 	m.Run()
 }
--- a/record/record.go
+++ b/record/record.go
@@ -22,15 +22,15 @@
 
 // Decision is one thing that was decided.
 type Decision struct {
-	Time   time.Time `json:"time"`
-	Kind   Kind      `json:"kind"`
-	About  string    `json:"about"`
-	What   string    `json:"what"`
-	Reason string    `json:"reason"`
+	Time    time.Time `json:"time"`
+	Kind    Kind      `json:"kind"`
+	Subject string    `json:"about"`
+	Summary string    `json:"what"`
+	Reason  string    `json:"reason"`
 }
 
-// Book holds the newest decisions of each kind.
-type Book struct {
+// History holds the newest decisions of each kind.
+type History struct {
 	mu    sync.Mutex
 	limit int
 	rings map[Kind]*ring
@@ -41,11 +41,11 @@
 	next int
 }
 
-// NewBook returns a book that keeps up to limit decisions of each kind.
-func NewBook(limit int) *Book { return &Book{limit: limit, rings: map[Kind]*ring{}} }
+// NewHistory returns a book that keeps up to limit decisions of each kind.
+func NewHistory(limit int) *History { return &History{limit: limit, rings: map[Kind]*ring{}} }
 
-// Note writes a decision down.
-func (b *Book) Note(kind Kind, about, what, why string) {
+// Add writes a decision down.
+func (b *History) Add(kind Kind, about, what, why string) {
 	d := Decision{time.Now(), kind, about, what, why}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,8 +62,8 @@
 	r.next = (r.next + 1) % b.limit
 }
 
-// About returns what is remembered of a request, model or server, oldest first.
-func (b *Book) About(name string) []Decision {
+// ByName returns what is remembered of a request, model or server, oldest first.
+func (b *History) ByName(name string) []Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var found []Decision
@@ -73,7 +73,7 @@
 			continue
 		}
 		for i := range r.list {
-			if d := r.list[(r.next+i)%len(r.list)]; d.About == name {
+			if d := r.list[(r.next+i)%len(r.list)]; d.Subject == name {
 				found = append(found, d)
 			}
 		}
--- a/replica/established_test.go
+++ b/replica/established_test.go
@@ -18,7 +18,7 @@
 type threeVoters struct{ MemoryStorage }
 
 func (threeVoters) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1", "b/1", "c/1"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1", "b/1", "c/1"}}}}
 }
 
 // laggingVoters are voters that vote and answer the leader, but do not have its entries yet.
--- a/replica/fleet_file_test.go
+++ b/replica/fleet_file_test.go
@@ -30,7 +30,7 @@
 type singleVoter struct{ MemoryStorage }
 
 func (singleVoter) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
 func startLeader(t *testing.T) *Replica {
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -70,7 +70,7 @@
 func (r *Replica) processOutput(idle bool) error {
 	out := r.core.TakeOutput()
 	if err := r.persist(&out); err != nil {
-		if errors.Is(err, wal.ErrFull) {
+		if errors.Is(err, wal.ErrDiskFull) {
 			return r.withdraw(err)
 		}
 		return err
@@ -149,7 +149,7 @@
 // withdraw stops the member until its disk has free space, and then restarts it
 // from the durable state, as after a crash.
 func (r *Replica) withdraw(cause error) error {
-	event.DataFolderFull.Log(r.opts.Log, event.Cause(cause))
+	event.DataFolderFull.Log(r.opts.Log, event.ErrorField(cause))
 	r.failProposals()
 	r.pausedUntil = time.Now().Add(diskFullPause)
 	if err := r.opts.Storage.Reload(); err != nil {
@@ -288,7 +288,7 @@
 	}
 	hard := &wire.HardState{Term: r.core.Term(), Vote: r.core.Vote()}
 	err = r.opts.Storage.SaveSnapshot(snapshot, hard, r.core.Tail())
-	if errors.Is(err, wal.ErrFull) {
+	if errors.Is(err, wal.ErrDiskFull) {
 		return r.withdraw(err)
 	}
 	return err
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -160,8 +160,8 @@
 		r.master = restored
 	}
 	core := r.opts.Core
-	core.Committed = l.Agreed
-	r.core = consensus.New(core, r.Now(), l.Hard, l.Snapshot, l.Entries)
+	core.Committed = l.CommittedIndex
+	r.core = consensus.New(core, r.Now(), l.HardState, l.Snapshot, l.Entries)
 	r.trackFleetFiles(l.Entries)
 	return r.applyTo(r.core.Commit())
 }
--- a/replica/single_voter_test.go
+++ b/replica/single_voter_test.go
@@ -18,7 +18,7 @@
 type formed struct{ replica.MemoryStorage }
 
 func (formed) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
 // A leader without peers must not lose its lease while idle: it then issued no more
--- a/replica/suspend_test.go
+++ b/replica/suspend_test.go
@@ -16,7 +16,7 @@
 type soleVoterStorage struct{ MemoryStorage }
 
 func (soleVoterStorage) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
 // The runtime's clock stops while the machine is suspended, and another box may lead when it resumes. The lease
--- a/spread/cluster_test.go
+++ b/spread/cluster_test.go
@@ -43,14 +43,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if b.HardState != nil {
-		d.loaded.Hard = b.HardState
+		d.loaded.HardState = b.HardState
 	}
 	if len(b.Entries) > 0 {
 		first := b.Entries[0].Index
 		kept := slices.DeleteFunc(slices.Clone(d.loaded.Entries), func(e *wire.Entry) bool { return e.Index >= first })
 		d.loaded.Entries = append(kept, b.Entries...)
 	}
-	d.loaded.Agreed = max(d.loaded.Agreed, b.Agreed)
+	d.loaded.CommittedIndex = max(d.loaded.CommittedIndex, b.Agreed)
 	return nil
 }
 
@@ -60,7 +60,7 @@
 	}
 	m.disk.mu.Lock()
 	defer m.disk.mu.Unlock()
-	m.disk.loaded = wal.Loaded{Hard: hard, Snapshot: s, Entries: tail, Agreed: s.Index}
+	m.disk.loaded = wal.Loaded{HardState: hard, Snapshot: s, Entries: tail, CommittedIndex: s.Index}
 	return nil
 }
 
@@ -182,7 +182,7 @@
 	}
 	for _, m := range c.members {
 		if m.Disk {
-			c.disks[m.Box] = &disk{loaded: wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}}}}
+			c.disks[m.Box] = &disk{loaded: wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}}}}
 		}
 	}
 	return c
--- a/spread/evidence.go
+++ b/spread/evidence.go
@@ -37,7 +37,7 @@
 
 func (s *Distributor) logEvidenceChange(before, now evidence) {
 	view := s.opts.Replica.View()
-	event.CurrentBy.Log(s.opts.Log, zap.Stringer("by", now), zap.Stringer("before", before),
+	event.CurrencySourceChanged.Log(s.opts.Log, zap.Stringer("by", now), zap.Stringer("before", before),
 		zap.Uint64("index", view.Index), zap.Uint64("number", view.Version.GetNumber()),
 		zap.Uint64("file", view.Version.GetIndex()), zap.Uint64("known", s.newestKnownFile()))
 }
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -26,7 +26,7 @@
 type bootstrapStorage struct{ replica.MemoryStorage }
 
 func (bootstrapStorage) Loaded() wal.Loaded {
-	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a1/1"}}}}
+	return wal.Loaded{HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a1/1"}}}}
 }
 
 // fleet is a set of boxes that exchange requests over a network that can be partitioned.
--- a/spread/follow.go
+++ b/spread/follow.go
@@ -55,10 +55,10 @@
 	fields := []zap.Field{zap.String("parent", parent), zap.Uint64("index", s.opts.Replica.View().Index), zap.Uint64("number", s.opts.Replica.View().Version.GetNumber())}
 	if err != nil {
 		s.parentLostAt = time.Now()
-		event.NewsLost.Log(s.opts.Log, append(fields, event.Cause(err))...)
+		event.UpdatesLost.Log(s.opts.Log, append(fields, event.ErrorField(err))...)
 		return
 	}
-	event.NewsRegained.Log(s.opts.Log, append(fields, zap.Duration("after", time.Since(s.parentLostAt)))...)
+	event.UpdatesRestored.Log(s.opts.Log, append(fields, zap.Duration("after", time.Since(s.parentLostAt)))...)
 	s.parentLostAt = time.Time{}
 }
 
--- a/spread/probe_load_test.go
+++ b/spread/probe_load_test.go
@@ -39,8 +39,8 @@
 		var storage replica.Storage = replica.MemoryStorage{}
 		if m.Disk {
 			storage = voterDisk{loaded: wal.Loaded{
-				Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}},
-				Entries: entries, Agreed: entries[len(entries)-1].Index,
+				HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}},
+				Entries: entries, CommittedIndex: entries[len(entries)-1].Index,
 			}}
 		}
 		f.start(t, m, storage, consensus.Options{ID: state.MemberID(m), ElectionMin: time.Hour, Heartbeat: time.Second, Lease: time.Minute, Seed: 1}, seeds[:3]...)
--- a/spread/report_test.go
+++ b/spread/report_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestMain(m *testing.M) {
-	fixed.Rapid(200)
+	fixed.SetRapidFlags(200)
 	m.Run()
 }
 
--- a/spread/start_test.go
+++ b/spread/start_test.go
@@ -55,8 +55,8 @@
 		var storage replica.Storage = replica.MemoryStorage{}
 		if self.Disk {
 			l := wal.Loaded{
-				Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}},
-				Entries: []*wire.Entry{fileEntry(t, 2, 1)}, Agreed: 2,
+				HardState: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: voters}},
+				Entries: []*wire.Entry{fileEntry(t, 2, 1)}, CommittedIndex: 2,
 			}
 			if slices.Contains(withSecondFile, box) {
 				l.Entries = append(l.Entries, fileEntry(t, 3, 2))
--- a/standin/chat.go
+++ b/standin/chat.go
@@ -41,7 +41,7 @@
 	e.setID(w, r, f)
 	version, resident := e.find(q.Model)
 	if !resident || f.refuses() {
-		w.Header().Set(engine.HeaderRan, "true")
+		w.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
@@ -76,11 +76,11 @@
 }
 
 func (e *Engine) setID(w http.ResponseWriter, r *http.Request, f Faults) {
-	id := r.Header.Get(engine.HeaderID)
+	id := r.Header.Get(engine.HeaderAttemptID)
 	if f.WrongID {
 		id = "of-another"
 	}
-	w.Header().Set(engine.HeaderID, id)
+	w.Header().Set(engine.HeaderAttemptID, id)
 }
 
 // Words returns the words of the only right answer to a request.
@@ -134,7 +134,7 @@
 }
 
 func (e *Engine) ran(r *http.Request) {
-	id := r.Header.Get(engine.HeaderID)
+	id := r.Header.Get(engine.HeaderAttemptID)
 	if i := strings.LastIndexByte(id, '.'); i > 0 {
 		id = id[:i]
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -122,7 +122,7 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := engine.State{Incarnation: e.incarnation, Leaving: e.get().Leaving, Fence: e.fence, Running: e.running, Waiting: e.waiting, Residents: []engine.Resident{}}
+	s := engine.State{Incarnation: e.incarnation, Draining: e.get().Leaving, Fence: e.fence, Running: e.running, Waiting: e.waiting, Residents: []engine.Resident{}}
 	for _, r := range e.residents {
 		s.Residents = append(s.Residents, *r)
 	}
--- a/standin/service.go
+++ b/standin/service.go
@@ -81,7 +81,7 @@
 	f := s.next()
 	f.speak(w)
 	if f.refuses() {
-		w.Header().Set(engine.HeaderRan, "true")
+		w.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
@@ -94,7 +94,7 @@
 	if f.BreakBefore {
 		breakOff()
 	}
-	w.Header().Set(engine.HeaderID, r.Header.Get(engine.HeaderID))
+	w.Header().Set(engine.HeaderAttemptID, r.Header.Get(engine.HeaderAttemptID))
 	if f.Status != 0 {
 		http.Error(w, "failed", f.Status)
 		return
@@ -105,7 +105,7 @@
 func (s *Service) run(r *http.Request, body []byte) ServiceAnswer {
 	key := r.Header.Get(s.keyHeader)
 	if key == "" {
-		key, _, _ = strings.Cut(r.Header.Get(engine.HeaderID), ".")
+		key, _, _ = strings.Cut(r.Header.Get(engine.HeaderAttemptID), ".")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/story/story.go
+++ b/story/story.go
@@ -151,9 +151,9 @@
 // aboutPrint reports whether a line is on servers that ended under a request, or on its being held for that.
 func aboutPrint(line *Line, prints map[string]bool) bool {
 	switch line.Event {
-	case event.CrasherHeld.Code, event.CrasherReleased.Code:
+	case event.CrasherBlocked.Code, event.CrasherReleased.Code:
 		return prints[line.field("print")]
-	case event.CrashSeen.Code:
+	case event.CrashDetected.Code:
 		return line.lists("prints", prints) || line.lists("weak", prints)
 	}
 	return false
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -111,7 +111,7 @@
 	}
 	if err != nil && !rep.malformedLogged {
 		rep.malformedLogged = true
-		event.LimitMalformed.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), event.Cause(err))
+		event.LimitMalformed.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), event.ErrorField(err))
 	}
 	if limit != rep.limit {
 		event.ServerLimited.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), zap.Float64("before", rep.limit.PerSecond()))
@@ -285,11 +285,11 @@
 		return rate.Charge{}, nil
 	}
 	charge, refusal := t.opts.Limiter.Take(ctx, rate.Key{Name: server, Rank: rank}, limit, 1)
-	outcome := meter.Borne
+	outcome := meter.Permitted
 	if refusal != nil {
-		outcome = meter.NotBorne
+		outcome = meter.Denied
 	}
-	t.opts.Meters.Count(meter.Limited, outcome).Inc()
+	t.opts.Meters.Count(meter.LimitedAttempts, outcome).Inc()
 	return charge, refusal
 }
 
--- a/wal/frame.go
+++ b/wal/frame.go
@@ -124,7 +124,7 @@
 	}
 	defer f.Close()
 	if _, err := f.Write(data); err != nil {
-		return Error.Wrap(fmt.Errorf("%w: %w", ErrFull, err))
+		return Error.Wrap(fmt.Errorf("%w: %w", ErrDiskFull, err))
 	}
 	if err := f.Sync(); err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, err))
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -63,8 +63,8 @@
 
 // What a store answers instead of keeping a record.
 var (
-	// ErrFull: no room; nothing of the batch was kept and the store works on.
-	ErrFull = errors.New("no room in the data folder; free some space or raise limit")
+	// ErrDiskFull: no room; nothing of the batch was kept and the store works on.
+	ErrDiskFull = errors.New("no room in the data folder; free some space or raise limit")
 	// ErrSync: the disk did not confirm; the process must end.
 	ErrSync = errors.New("the disk did not confirm a write; replace the disk or restart the box")
 	// ErrCorrupt: acknowledged records cannot be read.
@@ -99,11 +99,11 @@
 
 // Loaded is what a folder held when it was opened.
 type Loaded struct {
-	Hard     *wire.HardState
-	Snapshot *wire.Snapshot
-	Entries  []*wire.Entry
-	// Agreed is the newest index that is known to be agreed.
-	Agreed uint64
+	HardState *wire.HardState
+	Snapshot  *wire.Snapshot
+	Entries   []*wire.Entry
+	// CommittedIndex is the newest index that is known to be agreed.
+	CommittedIndex uint64
 	// Torn tells that an unacknowledged last frame was cut off.
 	Torn bool
 }
@@ -241,12 +241,12 @@
 		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if b.HardState != nil {
-		s.loaded.Hard = b.HardState
+		s.loaded.HardState = b.HardState
 	}
 	if b.Base != nil {
 		s.base = b.Base
 	}
-	s.loaded.Agreed = max(s.loaded.Agreed, b.Agreed)
+	s.loaded.CommittedIndex = max(s.loaded.CommittedIndex, b.Agreed)
 	if len(b.Entries) == 0 {
 		return nil
 	}
@@ -347,7 +347,7 @@
 	}
 	frame := encodeFrame(payload)
 	if s.opts.Limit > 0 && s.other+s.size+int64(len(frame)) > s.opts.Limit {
-		return Error.Wrap(ErrFull)
+		return Error.Wrap(ErrDiskFull)
 	}
 	if _, err := s.segment.WriteAt(frame, s.size); err != nil {
 		return s.undo(err)
@@ -365,7 +365,7 @@
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, err))
 	}
 	if errors.Is(cause, syscall.ENOSPC) || errors.Is(cause, syscall.EDQUOT) {
-		return Error.Wrap(fmt.Errorf("%w: %w", ErrFull, cause))
+		return Error.Wrap(fmt.Errorf("%w: %w", ErrDiskFull, cause))
 	}
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, cause))
 }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -84,7 +84,7 @@
 		opts.Incarnation = "second"
 		s = open()
 		Expect(s.Identity().Incarnation).To(Equal("first"))
-		Expect(s.Loaded().Hard.Vote).To(Equal("one/first"))
+		Expect(s.Loaded().HardState.Vote).To(Equal("one/first"))
 		Expect(s.Loaded().Entries).To(HaveLen(5))
 		Expect(s.Loaded().Entries[2].Term).To(BeEquivalentTo(2))
 	})
@@ -148,7 +148,7 @@
 				last++
 			}
 		}
-		Expect(err).To(MatchError(ErrFull))
+		Expect(err).To(MatchError(ErrDiskFull))
 		Expect(last).To(BeNumerically(">", 3))
 		Expect(s.Reload()).To(Succeed())
 		Expect(lastIndex(s)).To(Equal(last))
@@ -174,7 +174,7 @@
 		s = open()
 		Expect(proto.Equal(s.Loaded().Snapshot, snapshot)).To(BeTrue())
 		Expect(s.Loaded().Entries).To(HaveLen(3))
-		Expect(s.Loaded().Hard.Term).To(BeEquivalentTo(4))
+		Expect(s.Loaded().HardState.Term).To(BeEquivalentTo(4))
 	})
 
 	It("survives a crash between the snapshot and the new segment", func() {
--- a/workspace/quota.go
+++ b/workspace/quota.go
@@ -34,11 +34,11 @@
 func RefusalReason(r *rate.Refusal) *reason.Reason {
 	switch {
 	case r.TooLarge:
-		return reason.BeyondQuota
+		return reason.ExceedsQuota
 	case r.Exhausted:
 		return reason.OverQuota
 	}
-	return reason.QuotaUnsure
+	return reason.QuotaUnknown
 }
 
 // Usage is the size of a request, as the request specifies it.
