--- a/admin/rows.go
+++ b/admin/rows.go
@@ -86,7 +86,7 @@
 // serving reports whether a resident item is of a server that takes work.
 func serving(f *fleet.Fleet, r *wire.Resident) bool {
 	s := f.Servers[r.Server]
-	return s != nil && !s.Leaving
+	return s != nil && !s.Draining
 }
 
 func heldRows(st *state.State) (rows []HeldRow) {
--- a/bench/decide_test.go
+++ b/bench/decide_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st.Fleet.LoadsAtOnce = 1 << 20
+	st.Fleet.MaxConcurrentLoads = 1 << 20
 	return st
 }
 
--- a/box/box.go
+++ b/box/box.go
@@ -128,7 +128,7 @@
 
 // open opens the data folder and all listeners.
 func (b *Box) open(tls peer.TLS) error {
-	if b.settings.Control() {
+	if b.settings.IsControl() {
 		store, err := wal.Open(wal.Options{
 			Folder: b.settings.DataFolder, Box: b.settings.Box, Cluster: b.settings.Cluster,
 			Limit: b.settings.DataLimit, Incarnation: newIncarnation(),
@@ -161,7 +161,7 @@
 	if err := b.listenPlatform(); err != nil {
 		return err
 	}
-	if !b.settings.Entry() {
+	if !b.settings.IsEntry() {
 		return nil
 	}
 	b.entryHTTP = &http.Server{
@@ -306,7 +306,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p := &parts{replica: r, regions: s.Regions, directory: route.NewDirectory(s.Hall), accept: spread.AckTimeouts{AllBoxes: s.AcceptWait, Majority: s.AcceptMost}, notices: make(chan gateway.Notice, noticesLength)}
+	p := &parts{replica: r, regions: s.Regions, directory: route.NewDirectory(s.Hall), accept: spread.AckTimeouts{AllBoxes: s.AcceptWait, Majority: s.MaxAcceptWait}, notices: make(chan gateway.Notice, noticesLength)}
 	b.id.follow(func() level.Level { return r.View().Level })
 	p.crashes = newCrashes(state.ProcessID(self), b.log, b.meters)
 	p.spread = spread.New(spread.Options{
@@ -331,8 +331,8 @@
 	engines := engine.NewClient(allowed, p.pushback)
 	p.control = control.New(control.Options{
 		Replica: r, Spread: p.spread, Engines: engines.At,
-		TerminatedServers: p.directory.TerminatedServers, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
-		Counting: platform.NewEngines(allowed, p.pushback), InBackoff: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettleTime: s.DemandSettles, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
+		TerminatedServers: p.directory.TerminatedServers, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettleTime,
+		Counting: platform.NewEngines(allowed, p.pushback), InBackoff: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettleTime: s.DemandSettleTime, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
 		Records: b.records, Meters: b.meters, Log: b.log,
 	})
 	p.guard = keyed.New(state.ProcessID(self), r, b.pool, b.meters)
--- a/box/directory.go
+++ b/box/directory.go
@@ -74,8 +74,8 @@
 	if b.settings.PlatformAddress == "" {
 		return
 	}
-	var list platform.List = platform.HTTP{Address: b.settings.PlatformAddress}
-	ticker := time.NewTicker(b.settings.PlatformEvery)
+	var list platform.MachineList = platform.MachineClient{Address: b.settings.PlatformAddress}
+	ticker := time.NewTicker(b.settings.PlatformInterval)
 	defer ticker.Stop()
 	for {
 		b.readMachines(ctx, p, list)
@@ -87,8 +87,8 @@
 	}
 }
 
-func (b *Box) readMachines(ctx context.Context, p *parts, list platform.List) {
-	ctx, cancel := context.WithTimeout(ctx, b.settings.PlatformEvery)
+func (b *Box) readMachines(ctx context.Context, p *parts, list platform.MachineList) {
+	ctx, cancel := context.WithTimeout(ctx, b.settings.PlatformInterval)
 	defer cancel()
 	machines, err := list.Machines(ctx)
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 	gone := map[string]bool{}
 	for _, m := range machines {
-		if m.Leaving {
+		if m.Draining {
 			gone[m.Name] = true
 		}
 	}
--- a/box/platform.go
+++ b/box/platform.go
@@ -50,7 +50,7 @@
 			}
 		},
 		ReportCrash: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
-		Hall: s.Hall, DrainingDuration: s.Parting, MaxBodies: s.Memory / bodiesShare, RegionOf: func(hall string) string { return regionOf(p.replica.View(), s, hall) },
+		Hall: s.Hall, DrainingDuration: s.DrainingGrace, MaxBodies: s.MemoryLimit / bodiesShare, RegionOf: func(hall string) string { return regionOf(p.replica.View(), s, hall) },
 		Budget: gateway.Budget{Ratio: s.BudgetRatio, Slack: s.BudgetSlack, Window: s.BudgetWindow},
 		Meters: b.meters, Log: b.log,
 	})
@@ -279,9 +279,9 @@
 	event.CallMalformed.Log(c.box.log, zap.String("call", what), event.ErrorField(err))
 }
 
-// StrangeWord counts a word that names no server, and writes its line where none of its kind was written lately:
+// InvalidMessage counts a word that names no server, and writes its line where none of its kind was written lately:
 // another writer may send one each second.
-func (c *platformCluster) StrangeWord(call string, why platform.Strangeness, err error) {
+func (c *platformCluster) InvalidMessage(call string, why platform.MessageFault, err error) {
 	c.box.meters.Count(meter.InvalidReports, string(why)).Inc()
 	if c.box.strange.due(string(why), time.Now()) {
 		event.CallMalformed.Log(c.box.log, zap.String("call", call), zap.String("why", string(why)), event.ErrorField(err))
--- a/control/decide.go
+++ b/control/decide.go
@@ -45,8 +45,8 @@
 	}
 	c.longTermRates.update(demand, time.Now())
 	for name, m := range view.Fleet.Models {
-		if _, seen := demand[name]; !seen && m.Expected > 0 && time.Since(c.leadingSince) < expectedDemandTTL {
-			demand[name] = placement.Demand{Requests: m.Expected}
+		if _, seen := demand[name]; !seen && m.ExpectedRate > 0 && time.Since(c.leadingSince) < expectedDemandTTL {
+			demand[name] = placement.Demand{Requests: m.ExpectedRate}
 		}
 	}
 	return demand
@@ -119,7 +119,7 @@
 func (c *Controller) allowLoad(f *fleet.Fleet) bool {
 	limit := rate.Limit(f.LoadsPerSecond)
 	if c.limiter == nil {
-		c.limiter = rate.NewLimiter(limit, min(f.LoadsAtOnce, storeBurst))
+		c.limiter = rate.NewLimiter(limit, min(f.MaxConcurrentLoads, storeBurst))
 	}
 	if c.limiter.Limit() != limit {
 		c.limiter.SetLimit(limit)
--- a/control/orders.go
+++ b/control/orders.go
@@ -66,7 +66,7 @@
 			event.OrderUnanswered.Log(c.opts.Log, zap.Uint64("order", o.Id), zap.String("server", o.Server), event.ErrorField(err))
 		}
 	}
-	lastArrival := time.Now().Add(s.Kind.OrderLate)
+	lastArrival := time.Now().Add(s.Kind.MaxOrderDelay)
 	for c.canContinue(ctx, o) {
 		wait.For(ctx, stepInterval)
 		r, ok := c.report(o.Server)
--- a/control/states.go
+++ b/control/states.go
@@ -86,7 +86,7 @@
 		return false
 	}
 	busy := slices.ContainsFunc(r.state.Residents, func(x engine.Resident) bool { return x.Loading })
-	return !busy && r.began.After(since.Add(s.Kind.OrderLate))
+	return !busy && r.began.After(since.Add(s.Kind.MaxOrderDelay))
 }
 
 func residents(server string, st *engine.State) []*wire.Resident {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -135,8 +135,8 @@
 	if !ok {
 		return subcommands.ExitUsageError
 	}
-	if s.Memory > 0 {
-		go keepMemory(s.Memory)
+	if s.MemoryLimit > 0 {
+		go keepMemory(s.MemoryLimit)
 	}
 	log := newLog(s)
 	defer func() { _ = log.Sync() }()
@@ -160,8 +160,8 @@
 }
 
 func openTLS(s *settings.Settings, log *zap.Logger, done <-chan struct{}) (peer.TLS, error) {
-	if !s.TLS.On() {
-		if s.PlainAnywhere {
+	if !s.TLS.Enabled() {
+		if s.AllowPlaintext {
 			event.PlainText.Log(log)
 		}
 		return peer.Plaintext{}, nil
--- a/e2e/requests_test.go
+++ b/e2e/requests_test.go
@@ -428,7 +428,7 @@
 	case strings.HasPrefix(way, "its own word"):
 		c.engines[server].Set(standin.Faults{Leaving: true})
 	case way == "the platform's list":
-		c.platform.Replace([]platform.Machine{{Name: server, Leaving: true}})
+		c.platform.Replace([]platform.Machine{{Name: server, Draining: true}})
 	case way == "the fleet file":
 		c.fleet = strings.Replace(c.fleet, "[server "+server+"]\n", "[server "+server+"]\nleaving = true\n", 1)
 		c.applyNow(2)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -65,7 +65,7 @@
 		}
 	}}
 	if b.ResumesStreams {
-		how.StallAfter, how.AbortStalled = j.target.Class.StallAfter, e.budget.left
+		how.StallAfter, how.AbortStalled = j.target.Class.StallTimeout, e.budget.left
 	}
 	return how
 }
--- a/fleet/codec.go
+++ b/fleet/codec.go
@@ -56,8 +56,8 @@
 // fill.
 func New() *Fleet {
 	f := newFleet()
-	f.AttainmentWeight, f.MoveWeight, f.AffinitySlack, f.GoodUse, f.DemandLasts = 1, 200, 0.5, 0.8, 5*time.Minute
-	f.LoadsPerSecond, f.LoadsAtOnce = 2, 8
+	f.AttainmentWeight, f.MoveWeight, f.AffinitySlack, f.TargetUtilization, f.DemandHorizon = 1, 200, 0.5, 0.8, 5*time.Minute
+	f.LoadsPerSecond, f.MaxConcurrentLoads = 2, 8
 	return f
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,15 +20,15 @@
 	Number           uint64
 	AttainmentWeight float64
 	MoveWeight       float64
-	// DemandLasts is how long demand is taken to last: what a move gains is reckoned
+	// DemandHorizon is how long demand is taken to last: what a move gains is reckoned
 	// over that time.
-	DemandLasts   time.Duration
+	DemandHorizon time.Duration
 	AffinitySlack float64
-	// GoodUse is the share of a model server's places up to which answers come in
+	// TargetUtilization is the share of a model server's places up to which answers come in
 	// time.
-	GoodUse        float64
-	LoadsPerSecond float64
-	LoadsAtOnce    int
+	TargetUtilization  float64
+	LoadsPerSecond     float64
+	MaxConcurrentLoads int
 
 	Halls     map[string]*Hall
 	Classes   map[string]*Class
@@ -41,9 +41,9 @@
 	Routes []*Route
 	// Pools are the services whose backend servers announce themselves.
 	Pools map[string]*Pool
-	// WarmsUp tells that servers of some pool take less while they warm up.
-	WarmsUp bool
-	Limits  Limits
+	// HasWarmUp tells that servers of some pool take less while they warm up.
+	HasWarmUp bool
+	Limits    Limits
 	// Workspaces are whom requests belong to, nil where nobody needs a key.
 	Workspaces *workspace.Registry
 	kinds      map[string]*Kind
@@ -54,24 +54,24 @@
 
 // Class is a service class.
 type Class struct {
-	Name       string
-	Deadline   time.Duration
-	FirstToken time.Duration
-	StallAfter time.Duration
-	Priority   int
+	Name         string
+	Deadline     time.Duration
+	FirstToken   time.Duration
+	StallTimeout time.Duration
+	Priority     int
 }
 
 // Kind is a kind of model server.
 type Kind struct {
-	Name         string
-	ChecksFences bool
-	OrderLate    time.Duration
-	Accelerators int
-	Memory       uint64 // bytes of one accelerator
-	KVReserve    uint64 // bytes of one accelerator
-	Concurrency  int
-	// Resumes tells that a stream may go on at another server of the kind.
-	Resumes bool
+	Name          string
+	ChecksFences  bool
+	MaxOrderDelay time.Duration
+	Accelerators  int
+	Memory        uint64 // bytes of one accelerator
+	KVReserve     uint64 // bytes of one accelerator
+	Concurrency   int
+	// ResumesStreams tells that a stream may go on at another server of the kind.
+	ResumesStreams bool
 	// CountsOrders tells that a server refuses an order that does not name the
 	// count of orders that it has taken, so that of all copies of one order at
 	// most one runs.
@@ -83,16 +83,16 @@
 	FetchPerToken time.Duration
 }
 
-// Usable returns the bytes of one accelerator that models and adapters may take.
-func (k *Kind) Usable() uint64 { return k.Memory - k.KVReserve }
+// UsableMemory returns the bytes of one accelerator that models and adapters may take.
+func (k *Kind) UsableMemory() uint64 { return k.Memory - k.KVReserve }
 
 // Server is a model server.
 type Server struct {
-	Name    string
-	Address string
-	Hall    string
-	Kind    *Kind
-	Leaving bool
+	Name     string
+	Address  string
+	Hall     string
+	Kind     *Kind
+	Draining bool
 	// Pool is the service that the server announced itself for, "" when the file
 	// names the server.
 	Pool string
@@ -100,16 +100,16 @@
 
 // Model is a model.
 type Model struct {
-	Name      string
-	Version   string
-	Memory    uint64 // bytes
-	Class     *Class
-	Priority  int
-	Halls     []string
-	Copies    int
-	MaxCopies int
-	Expected  float64 // requests a second
-	Adapters  []*Adapter
+	Name         string
+	Version      string
+	Memory       uint64 // bytes
+	Class        *Class
+	Priority     int
+	Halls        []string
+	MinCopies    int
+	MaxCopies    int
+	ExpectedRate float64 // requests a second
+	Adapters     []*Adapter
 	// Pool is the service whose servers hold the model, "" for the file's own.
 	Pool string
 	// LoadTime is how long a load from the weight store takes, alone; WarmTime
@@ -157,8 +157,8 @@
 	Prefix bool
 }
 
-// Covers reports whether the call is meant.
-func (c Call) Covers(method, path string) bool {
+// Matches reports whether the call is meant.
+func (c Call) Matches(method, path string) bool {
 	if c.Method != method {
 		return false
 	}
@@ -171,7 +171,7 @@
 // Repeatable reports whether a call may be sent again when its outcome is not
 // known.
 func (s *Service) Repeatable(method, path string) bool {
-	return !slices.ContainsFunc(s.NonRepeatable, func(c Call) bool { return c.Covers(method, path) })
+	return !slices.ContainsFunc(s.NonRepeatable, func(c Call) bool { return c.Matches(method, path) })
 }
 
 // Instance is a backend server of a service.
@@ -180,7 +180,7 @@
 	Service     string
 	Address     string
 	Hall        string
-	Leaving     bool
+	Draining    bool
 	Concurrency int
 }
 
@@ -221,17 +221,17 @@
 }
 
 func (r *reader) read() {
-	head := r.doc.Part("fleet")
+	head := r.doc.Section("fleet")
 	f := r.fleet
 	f.Number = uint64(head.Int("number"))
 	f.AttainmentWeight, f.MoveWeight = head.Float("attainment-weight"), head.Float("move-weight")
-	f.AffinitySlack, f.GoodUse = head.Float("affinity-slack"), head.Float("good-use")
-	f.DemandLasts = head.Duration("demand-lasts")
-	f.LoadsPerSecond, f.LoadsAtOnce = head.Float("loads-per-second"), head.Int("loads-at-once")
-	for _, p := range r.doc.Parts("hall") {
+	f.AffinitySlack, f.TargetUtilization = head.Float("affinity-slack"), head.Float("good-use")
+	f.DemandHorizon = head.Duration("demand-lasts")
+	f.LoadsPerSecond, f.MaxConcurrentLoads = head.Float("loads-per-second"), head.Int("loads-at-once")
+	for _, p := range r.doc.Sections("hall") {
 		f.Halls[p.Name] = &Hall{p.Name, p.String("region")}
 	}
-	for _, p := range r.doc.Parts("class") {
+	for _, p := range r.doc.Sections("class") {
 		f.Classes[p.Name] = &Class{p.Name, p.Duration("deadline"), p.Duration("first-token"), p.Duration("stall-after"), p.Int("priority")}
 	}
 	r.readServers()
@@ -242,15 +242,15 @@
 
 func (r *reader) readWorkspaces() {
 	var list []*workspace.Workspace
-	parts := map[string]*conf.Part{}
-	for _, p := range r.doc.Parts(sectionWorkspace) {
+	parts := map[string]*conf.SectionValues{}
+	for _, p := range r.doc.Sections(sectionWorkspace) {
 		w := &workspace.Workspace{Name: p.Name, Urgency: p.Int("urgency"), Quota: workspace.Quota{
 			Unit: workspace.Unit(p.String("unit")), Rate: p.Float("rate"), Burst: p.Float("burst"), DefaultTokens: p.Float("plain-tokens"),
 		}}
 		for i, text := range p.List("keys") {
 			d, err := workspace.ParseKey(text)
 			if err != nil {
-				p.Fault("keys", fmt.Sprintf("key %d cannot be used: %v", i+1, err), "keys as `leverdrum key` makes them, or their digests")
+				p.AddFault("keys", fmt.Sprintf("key %d cannot be used: %v", i+1, err), "keys as `leverdrum key` makes them, or their digests")
 				continue
 			}
 			w.Keys = append(w.Keys, d)
@@ -260,26 +260,26 @@
 	}
 	book, clashes := workspace.NewRegistry(list)
 	for _, c := range clashes {
-		parts[c.Second].Fault("keys", c.String(), "each key in one workspace")
+		parts[c.Second].AddFault("keys", c.String(), "each key in one workspace")
 	}
 	r.fleet.Workspaces = book
 }
 
 func (r *reader) readServers() {
 	f := r.fleet
-	for _, p := range r.doc.Parts("kind") {
+	for _, p := range r.doc.Sections("kind") {
 		k := &Kind{
-			Name: p.Name, ChecksFences: p.Bool("checks-fences"), OrderLate: p.Duration("order-late"),
+			Name: p.Name, ChecksFences: p.Bool("checks-fences"), MaxOrderDelay: p.Duration("order-late"),
 			Accelerators: p.Int("accelerators"), Memory: p.Bytes("memory"), KVReserve: p.Bytes("kv-reserve"), Concurrency: p.Int("concurrency"),
-			Resumes: p.Bool("resumes-streams"),
+			ResumesStreams: p.Bool("resumes-streams"),
 		}
 		if k.KVReserve >= k.Memory {
-			p.Fault("kv-reserve", "leaves no memory for models", "less than memory")
+			p.AddFault("kv-reserve", "leaves no memory for models", "less than memory")
 		}
 		f.kinds[p.Name] = k
 	}
-	for _, p := range r.doc.Parts("server") {
-		s := &Server{Name: p.Name, Address: p.String("address"), Hall: p.String("hall"), Leaving: p.Bool("leaving")}
+	for _, p := range r.doc.Sections("server") {
+		s := &Server{Name: p.Name, Address: p.String("address"), Hall: p.String("hall"), Draining: p.Bool("leaving")}
 		s.Kind = refer(p, "kind", f.kinds)
 		refer(p, "hall", f.Halls)
 		f.Servers[p.Name] = s
@@ -288,25 +288,25 @@
 
 func (r *reader) readModels() {
 	f := r.fleet
-	for _, p := range r.doc.Parts("model") {
+	for _, p := range r.doc.Sections("model") {
 		m := &Model{
 			Name: p.Name, Version: p.String("version"), Memory: p.Bytes("memory"), Class: refer(p, "class", f.Classes),
-			Priority: p.Int("priority"), Halls: p.List("halls"), Copies: p.Int("copies"), MaxCopies: p.Int("max-copies"), Expected: p.Float("expected"),
+			Priority: p.Int("priority"), Halls: p.List("halls"), MinCopies: p.Int("copies"), MaxCopies: p.Int("max-copies"), ExpectedRate: p.Float("expected"),
 		}
-		if m.MaxCopies < m.Copies {
-			p.Fault("max-copies", "is below copies", fmt.Sprintf("at least %d", m.Copies))
+		if m.MaxCopies < m.MinCopies {
+			p.AddFault("max-copies", "is below copies", fmt.Sprintf("at least %d", m.MinCopies))
 		}
 		for _, hall := range m.Halls {
 			if f.Halls[hall] == nil {
-				p.Fault("halls", fmt.Sprintf("%q is no hall of this file", hall), names(f.Halls))
+				p.AddFault("halls", fmt.Sprintf("%q is no hall of this file", hall), names(f.Halls))
 			}
 		}
 		f.Models[p.Name] = m
 	}
-	for _, p := range r.doc.Parts("adapter") {
+	for _, p := range r.doc.Sections("adapter") {
 		a := &Adapter{Name: p.Name, Model: p.String("model"), Version: p.String("version"), Memory: p.Bytes("memory")}
 		if f.Models[p.Name] != nil {
-			p.Fault("", "a model has the same name", "a name of its own")
+			p.AddFault("", "a model has the same name", "a name of its own")
 		}
 		if m := refer(p, "model", f.Models); m != nil {
 			m.Adapters = append(m.Adapters, a)
@@ -317,28 +317,28 @@
 
 func (r *reader) readServices() {
 	f := r.fleet
-	for _, p := range r.doc.Parts("service") {
+	for _, p := range r.doc.Sections("service") {
 		s := &Service{Name: p.Name, Class: refer(p, "class", f.Classes), KeyHeader: p.String("key-header")}
 		for _, text := range p.List("non-repeatable") {
 			c, ok := parseCall(text)
 			if !ok {
-				p.Fault("non-repeatable", fmt.Sprintf("%q names no call", text), "METHOD /path, METHOD /path*")
+				p.AddFault("non-repeatable", fmt.Sprintf("%q names no call", text), "METHOD /path, METHOD /path*")
 			}
 			s.NonRepeatable = append(s.NonRepeatable, c)
 		}
 		f.Services[p.Name] = s
 	}
-	for _, p := range r.doc.Parts("instance") {
+	for _, p := range r.doc.Sections("instance") {
 		i := &Instance{
 			Name: p.Name, Service: p.String("service"), Address: p.String("address"), Hall: p.String("hall"),
-			Leaving: p.Bool("leaving"), Concurrency: p.Int("concurrency"),
+			Draining: p.Bool("leaving"), Concurrency: p.Int("concurrency"),
 		}
 		refer(p, "hall", f.Halls)
 		if s := refer(p, "service", f.Services); s != nil {
 			s.Instances = append(s.Instances, i)
 		}
 		if f.Servers[p.Name] != nil {
-			p.Fault("", "a model server has the same name", "a name of its own")
+			p.AddFault("", "a model server has the same name", "a name of its own")
 		}
 		f.Instances[p.Name] = i
 	}
@@ -356,12 +356,12 @@
 }
 
 // refer looks up the section that a key names and notes a fault if there is none.
-func refer[T any](p *conf.Part, key string, in map[string]*T) *T {
+func refer[T any](p *conf.SectionValues, key string, in map[string]*T) *T {
 	name := p.String(key)
 	if v := in[name]; v != nil || name == "" {
 		return v
 	}
-	p.Fault(key, fmt.Sprintf("%q is not in this file", name), names(in))
+	p.AddFault(key, fmt.Sprintf("%q is not in this file", name), names(in))
 	return nil
 }
 
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -57,7 +57,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.Number).To(BeEquivalentTo(7))
 		Expect(f.Models["cat"].Footprint()).To(BeEquivalentTo(41 << 30))
-		Expect(f.Servers["m1"].Kind.Usable()).To(BeEquivalentTo(64 << 30))
+		Expect(f.Servers["m1"].Kind.UsableMemory()).To(BeEquivalentTo(64 << 30))
 		Expect(f.Servers["m1"].Kind.ChecksFences).To(BeFalse(), "the careful kind is the default")
 		Expect(f.Services["shop"].Instances).To(HaveLen(1))
 	})
--- a/fleet/redact.go
+++ b/fleet/redact.go
@@ -25,7 +25,7 @@
 
 func redactINI(text []byte) []byte {
 	var pairs []string
-	for _, p := range conf.Read("fleet", text, Schema).Parts(sectionWorkspace) {
+	for _, p := range conf.Read("fleet", text, Schema).Sections(sectionWorkspace) {
 		for _, key := range p.List("keys") {
 			if d, err := workspace.ParseKey(key); err == nil {
 				pairs = append(pairs, key, d.Encode())
--- a/fleet/room.go
+++ b/fleet/room.go
@@ -42,11 +42,11 @@
 func (r *reader) checkRoom() {
 	var slots []*slot
 	for _, s := range r.fleet.SortedServers() {
-		if s.Leaving {
+		if s.Draining {
 			continue
 		}
 		for range s.Kind.Accelerators {
-			slots = append(slots, &slot{s, s.Kind.Usable()})
+			slots = append(slots, &slot{s, s.Kind.UsableMemory()})
 		}
 	}
 	for _, m := range bySize(r.fleet) {
@@ -54,7 +54,7 @@
 			best.free -= m.Footprint()
 			continue
 		}
-		r.doc.Part("fleet").Fault("", shortage(slots, m), "models that fit the servers' memory")
+		r.doc.Section("fleet").AddFault("", shortage(slots, m), "models that fit the servers' memory")
 	}
 }
 
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -31,13 +31,13 @@
 	Resumable bool
 	// Timeout bounds the time from a request's arrival to its end.
 	Timeout time.Duration
-	// Aim is the time to the answer, or to the first event, that callers want.
-	Aim time.Duration
-	// Pause is the longest time between two events that callers want, 0: any.
-	Pause time.Duration
-	// Patience is how long callers of a stream wait for its first event, 0: to their
+	// LatencyTarget is the time to the answer, or to the first event, that callers want.
+	LatencyTarget time.Duration
+	// EventGapTarget is the longest time between two events that callers want, 0: any.
+	EventGapTarget time.Duration
+	// FirstEventTimeout is how long callers of a stream wait for its first event, 0: to their
 	// deadline.
-	Patience time.Duration
+	FirstEventTimeout time.Duration
 	// Rank is the urgency, 0 the highest.
 	Rank int
 	// MaxAttempts bounds the servers that one request is sent to.
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -81,7 +81,7 @@
 			if row.readyIn > 0 {
 				time.AfterFunc(row.readyIn, func() { set(backedOff, copied) })
 			}
-			j := &job{g: gate, route: &fleet.Route{Kind: fleet.Streaming, Aim: 5 * time.Second, Patience: 3 * time.Second}, poolName: "p", arrived: start, prompt: dialect.Prompt{Model: "m"}}
+			j := &job{g: gate, route: &fleet.Route{Kind: fleet.Streaming, LatencyTarget: 5 * time.Second, FirstEventTimeout: 3 * time.Second}, poolName: "p", arrived: start, prompt: dialect.Prompt{Model: "m"}}
 			j.deadline = start.Add(15 * time.Second)
 			c, refusal := j.findServer(context.Background())
 			g.Expect(refusal).To(Equal(row.want), row.name)
--- a/gateway/find.go
+++ b/gateway/find.go
@@ -78,7 +78,7 @@
 	if j.prompt.Model == "" || j.headSent || j.attempts > 0 || j.route.Kind != fleet.Streaming {
 		return false
 	}
-	limit := min(maxAims*milliseconds(j.route.Aim), maxRemainingShare*milliseconds(j.remaining()))
+	limit := min(maxAims*milliseconds(j.route.LatencyTarget), maxRemainingShare*milliseconds(j.remaining()))
 	return c.queueDelay+c.work > limit
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -134,7 +134,7 @@
 	}{{"safe", fleet.Safe, false}, {"unsafe", fleet.Unsafe, false}, {"stream", fleet.Streaming, true}, {"once", fleet.Streaming, false}} {
 		f.Routes = append(f.Routes, &fleet.Route{
 			Name: r.prefix, Host: "h.example", Prefix: "/" + r.prefix + "/", Kind: r.kind, Resumable: r.resume,
-			Timeout: timeout, Aim: timeout / 4, MaxAttempts: 2, Split: []fleet.Share{{Pool: "s", Weight: 1}},
+			Timeout: timeout, LatencyTarget: timeout / 4, MaxAttempts: 2, Split: []fleet.Share{{Pool: "s", Weight: 1}},
 		})
 	}
 	s := &setup{t: t, view: state.New(), onCurrentCheck: func() {}}
--- a/gateway/giveup.go
+++ b/gateway/giveup.go
@@ -53,7 +53,7 @@
 
 // retryAfterFor returns when the caller should retry.
 func (j *job) retryAfterFor(refusal *reason.Reason) time.Duration {
-	soon := time.Duration(retryAfterShare * float64(j.route.Aim))
+	soon := time.Duration(retryAfterShare * float64(j.route.LatencyTarget))
 	switch refusal {
 	case reason.Overloaded, reason.OverQuota, reason.QuotaUnknown:
 		return max(soon, time.Duration(j.queueDelay*float64(time.Millisecond)))
@@ -76,7 +76,7 @@
 	event.RequestDone.Log(j.g.opts.Log,
 		zap.String("request", j.id), zap.String("route", j.route.Name), zap.Int("sends", j.attempts), zap.String("server", s.id),
 		zap.String("model", j.prompt.Model), zap.String("adapter", j.prompt.Adapter), zap.Int("tokens", j.prompt.Tokens),
-		zap.Duration("aim", j.route.Aim), zap.Duration("pause", j.route.Pause), zap.Int("status", j.status),
+		zap.Duration("aim", j.route.LatencyTarget), zap.Duration("pause", j.route.EventGapTarget), zap.Int("status", j.status),
 		zap.Duration("waited", j.queueTime), zap.Duration("sent", j.sentAfter), zap.Duration("first", j.firstEventAfter), zap.Duration("longest", j.longestPause),
 		zap.Duration("after", time.Since(j.arrived)), zap.Float64("reckoned", j.estimatedPrefill), zap.Float64("behind", j.queueDelay), zap.Int("beside", j.concurrent))
 }
@@ -86,7 +86,7 @@
 	fields := []zap.Field{
 		zap.String("request", j.id), zap.String("route", j.route.Name), zap.String("outcome", outcome), zap.Uint64("number", j.number),
 		zap.Int("sends", j.attempts), zap.Duration("after", time.Since(j.arrived)), zap.Duration("left", j.remaining()),
-		zap.Duration("aim", j.route.Aim), zap.Duration("waited", j.queueTime), zap.Duration("sent", j.sentAfter), zap.Duration("first", j.firstEventAfter), zap.Duration("longest", j.longestPause),
+		zap.Duration("aim", j.route.LatencyTarget), zap.Duration("waited", j.queueTime), zap.Duration("sent", j.sentAfter), zap.Duration("first", j.firstEventAfter), zap.Duration("longest", j.longestPause),
 	}
 	if j.prompt.Model != "" {
 		fields = append(fields, zap.String("model", j.prompt.Model), zap.String("adapter", j.prompt.Adapter))
--- a/gateway/patience.go
+++ b/gateway/patience.go
@@ -30,8 +30,8 @@
 // patience returns the time that the caller allows until the first event.
 func (j *job) patience() time.Duration {
 	patience := j.deadline.Sub(j.arrived)
-	if j.route.Kind == fleet.Streaming && j.route.Patience > 0 && !j.headSent {
-		patience = min(patience, j.route.Patience)
+	if j.route.Kind == fleet.Streaming && j.route.FirstEventTimeout > 0 && !j.headSent {
+		patience = min(patience, j.route.FirstEventTimeout)
 	}
 	return patience
 }
@@ -42,7 +42,7 @@
 
 // silenceTimeout returns the silence after which a server that accepts connections is given up.
 func (j *job) silenceTimeout() time.Duration {
-	patience := j.route.Patience
+	patience := j.route.FirstEventTimeout
 	if patience == 0 {
 		patience = j.deadline.Sub(j.arrived)
 	}
--- a/gateway/patience_test.go
+++ b/gateway/patience_test.go
@@ -33,7 +33,7 @@
 // Guards against requests for models resident nowhere that wait until their callers leave (257 in
 // one day): given up in time, their callers can retry.
 func TestRequestsForUnavailableModelsAreGivenUpInTime(t *testing.T) {
-	stream := &fleet.Route{Kind: fleet.Streaming, Patience: 3 * time.Second}
+	stream := &fleet.Route{Kind: fleet.Streaming, FirstEventTimeout: 3 * time.Second}
 	safe := &fleet.Route{Kind: fleet.Safe}
 	for _, row := range []struct {
 		name             string
@@ -119,7 +119,7 @@
 		f := fleet.New()
 		f.Models["m"] = &fleet.Model{Name: "m"}
 		gate.dir.current.Store(&table{pools: map[string]*pool{"p": p}, fleet: f})
-		j := &job{g: gate, route: &fleet.Route{Kind: fleet.Streaming, Patience: time.Second}, poolName: "p", arrived: time.Now(), prompt: dialect.Prompt{Model: "m", Adapter: "a1"}}
+		j := &job{g: gate, route: &fleet.Route{Kind: fleet.Streaming, FirstEventTimeout: time.Second}, poolName: "p", arrived: time.Now(), prompt: dialect.Prompt{Model: "m", Adapter: "a1"}}
 		j.deadline = j.arrived.Add(10 * time.Second)
 		_, refusal := j.findServer(context.Background())
 		g.Expect(refusal).To(Equal(reason.NotResident))
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -152,8 +152,8 @@
 		if err == io.EOF {
 			a.finish(true)
 			j.complete = a.framed()
-			if j.route.Pause > 0 {
-				s.recordStream(time.Now(), j.longestPause > j.route.Pause)
+			if j.route.EventGapTarget > 0 {
+				s.recordStream(time.Now(), j.longestPause > j.route.EventGapTarget)
 			}
 			return true
 		}
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -21,8 +21,8 @@
 	Name string
 	// Type says how the value is read.
 	Type Type
-	// Text tells an operator what the setting does.
-	Text string
+	// Description tells an operator what the setting does.
+	Description string
 	// Default is the value when the key is left out.
 	Default string
 	// Required keys have no default.
@@ -36,8 +36,8 @@
 // Section describes one kind of section. A named kind is written
 // "[kind name]" and may come any number of times.
 type Section struct {
-	Kind string
-	Text string
+	Kind        string
+	Description string
 	// Named sections carry a name of their own.
 	Named bool
 	// Required sections must be in the file.
@@ -86,12 +86,12 @@
 // Document is a file that was read, with the faults found so far.
 type Document struct {
 	file   string
-	parts  []*Part
+	parts  []*SectionValues
 	faults Faults
 }
 
-// Part is one section of a document.
-type Part struct {
+// SectionValues is one section of a document.
+type SectionValues struct {
 	// Name is the section's own name, "" for kinds without.
 	Name string
 
@@ -143,11 +143,13 @@
 // Faults returns all faults, nil when there is none.
 func (d *Document) Faults() Faults { return d.faults }
 
-// Fault adds a fault that the caller found in a part's key.
-func (p *Part) Fault(key, problem, allowed string) { p.doc.fault(p.title, key, problem, allowed) }
+// AddFault adds a fault that the caller found in a part's key.
+func (p *SectionValues) AddFault(key, problem, allowed string) {
+	p.doc.fault(p.title, key, problem, allowed)
+}
 
-// Fault adds a fault of the document as a whole.
-func (d *Document) Fault(problem, allowed string) { d.fault("", "", problem, allowed) }
+// AddFault adds a fault of the document as a whole.
+func (d *Document) AddFault(problem, allowed string) { d.fault("", "", problem, allowed) }
 
 func (d *Document) section(s *ini.Section, schema []Section) {
 	title := s.Name()
@@ -173,15 +175,15 @@
 		d.fault(title, "", "the section takes no name", "["+kind.Kind+"]")
 		return
 	}
-	if slices.ContainsFunc(d.parts, func(p *Part) bool { return p.kind.Kind == kind.Kind && p.Name == name }) {
+	if slices.ContainsFunc(d.parts, func(p *SectionValues) bool { return p.kind.Kind == kind.Kind && p.Name == name }) {
 		d.fault(title, "", "the section stands twice", "once")
 		return
 	}
 	d.parts = append(d.parts, d.part(s, kind, title, name))
 }
 
-func (d *Document) part(s *ini.Section, kind Section, title, name string) *Part {
-	p := &Part{Name: name, doc: d, kind: kind, title: title, values: map[string]any{}, set: map[string]bool{}}
+func (d *Document) part(s *ini.Section, kind Section, title, name string) *SectionValues {
+	p := &SectionValues{Name: name, doc: d, kind: kind, title: title, values: map[string]any{}, set: map[string]bool{}}
 	for _, k := range s.Keys() {
 		i := slices.IndexFunc(kind.Keys, func(x Key) bool { return x.Name == k.Name() })
 		if i < 0 {
@@ -208,14 +210,14 @@
 	return p
 }
 
-func (p *Part) read(k Key, text string) {
+func (p *SectionValues) read(k Key, text string) {
 	if text == "" && !k.Required {
 		p.values[k.Name] = k.zero()
 		return
 	}
 	v, err := k.parse(text)
 	if err != nil {
-		p.Fault(k.Name, fmt.Sprintf("%q %s", text, err), k.allowed())
+		p.AddFault(k.Name, fmt.Sprintf("%q %s", text, err), k.allowed())
 		return
 	}
 	p.values[k.Name] = v
@@ -223,7 +225,7 @@
 
 func (d *Document) missing(schema []Section) {
 	for _, k := range schema {
-		found := slices.ContainsFunc(d.parts, func(p *Part) bool { return p.kind.Kind == k.Kind })
+		found := slices.ContainsFunc(d.parts, func(p *SectionValues) bool { return p.kind.Kind == k.Kind })
 		if found || k.Named {
 			continue
 		}
@@ -236,8 +238,8 @@
 }
 
 // defaults stands in for an optional section that was left out.
-func (d *Document) defaults(k Section) *Part {
-	p := &Part{doc: d, kind: k, title: k.Kind, values: map[string]any{}, set: map[string]bool{}}
+func (d *Document) defaults(k Section) *SectionValues {
+	p := &SectionValues{doc: d, kind: k, title: k.Kind, values: map[string]any{}, set: map[string]bool{}}
 	for _, key := range k.Keys {
 		if !key.Required {
 			p.read(key, key.Default)
@@ -246,9 +248,9 @@
 	return p
 }
 
-// Parts returns the sections of a kind in the order of the file.
-func (d *Document) Parts(kind string) []*Part {
-	var list []*Part
+// Sections returns the sections of a kind in the order of the file.
+func (d *Document) Sections(kind string) []*SectionValues {
+	var list []*SectionValues
 	for _, p := range d.parts {
 		if p.kind.Kind == kind {
 			list = append(list, p)
@@ -257,43 +259,43 @@
 	return list
 }
 
-// Part returns the only section of a kind without names. One that is missing
+// Section returns the only section of a kind without names. One that is missing
 // although required comes back empty; its fault is noted already.
-func (d *Document) Part(kind string) *Part {
-	if list := d.Parts(kind); len(list) > 0 {
+func (d *Document) Section(kind string) *SectionValues {
+	if list := d.Sections(kind); len(list) > 0 {
 		return list[0]
 	}
-	return &Part{doc: d, title: kind, values: map[string]any{}, set: map[string]bool{}}
+	return &SectionValues{doc: d, title: kind, values: map[string]any{}, set: map[string]bool{}}
 }
 
-// Set reports whether the file itself names the key.
-func (p *Part) Set(key string) bool { return p.set[key] }
+// IsSet reports whether the file itself names the key.
+func (p *SectionValues) IsSet(key string) bool { return p.set[key] }
 
-func get[T any](p *Part, key string) T {
+func get[T any](p *SectionValues, key string) T {
 	v, _ := p.values[key].(T)
 	return v
 }
 
 // String returns the value of a Text, Name, Address or Choice key.
-func (p *Part) String(key string) string { return get[string](p, key) }
+func (p *SectionValues) String(key string) string { return get[string](p, key) }
 
 // List returns the value of a key that lists several words.
-func (p *Part) List(key string) []string { return get[[]string](p, key) }
+func (p *SectionValues) List(key string) []string { return get[[]string](p, key) }
 
 // Duration returns the value of a Duration key.
-func (p *Part) Duration(key string) time.Duration { return get[time.Duration](p, key) }
+func (p *SectionValues) Duration(key string) time.Duration { return get[time.Duration](p, key) }
 
 // Int returns the value of an Int key.
-func (p *Part) Int(key string) int { return get[int](p, key) }
+func (p *SectionValues) Int(key string) int { return get[int](p, key) }
 
 // Float returns the value of a Float key.
-func (p *Part) Float(key string) float64 { return get[float64](p, key) }
+func (p *SectionValues) Float(key string) float64 { return get[float64](p, key) }
 
 // Bytes returns the value of a Bytes key.
-func (p *Part) Bytes(key string) uint64 { return get[uint64](p, key) }
+func (p *SectionValues) Bytes(key string) uint64 { return get[uint64](p, key) }
 
 // Bool returns the value of a Bool key.
-func (p *Part) Bool(key string) bool { return get[bool](p, key) }
+func (p *SectionValues) Bool(key string) bool { return get[bool](p, key) }
 
 func kinds(schema []Section) string {
 	var names []string
--- a/internal/conf/docs.go
+++ b/internal/conf/docs.go
@@ -13,9 +13,9 @@
 		if s.Named {
 			title += " NAME"
 		}
-		fmt.Fprintf(&b, "### [%s]\n\n%s\n\n| key | value | default | meaning |\n| --- | --- | --- | --- |\n", title, s.Text)
+		fmt.Fprintf(&b, "### [%s]\n\n%s\n\n| key | value | default | meaning |\n| --- | --- | --- | --- |\n", title, s.Description)
 		for _, k := range s.Keys {
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.Name, k.allowed(), k.defaultText(), k.Text)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.Name, k.allowed(), k.defaultText(), k.Description)
 		}
 		b.WriteString("\n")
 	}
--- a/internal/conf/types.go
+++ b/internal/conf/types.go
@@ -41,8 +41,8 @@
 	Choice
 	// Choices is a list of the key's choices, separated by commas.
 	Choices
-	// Lines is a list of any texts, separated by commas.
-	Lines
+	// Texts is a list of any texts, separated by commas.
+	Texts
 )
 
 var typeTexts = map[Type]string{
@@ -56,7 +56,7 @@
 	Int:       "a whole number",
 	Float:     "a number",
 	Bool:      "true or false",
-	Lines:     "texts, separated by commas",
+	Texts:     "texts, separated by commas",
 }
 
 const maxName = 128
@@ -91,7 +91,7 @@
 
 func (k Key) zero() any {
 	switch k.Type {
-	case Names, Addresses, Choices, Lines:
+	case Names, Addresses, Choices, Texts:
 		return []string(nil)
 	case Duration:
 		return time.Duration(0)
@@ -115,7 +115,7 @@
 		return text, parseAddress(text)
 	case Choice:
 		return text, check(slices.Contains(k.Choices, text), "is unknown")
-	case Names, Choices, Addresses, Lines:
+	case Names, Choices, Addresses, Texts:
 		return k.parseList(text)
 	case Duration:
 		d, err := time.ParseDuration(text)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -165,7 +165,7 @@
 func (inv *Inventory) Evacuated(hall string) bool { return inv.Evacuations[hall] != nil }
 
 func (inv *Inventory) checkLoad(s *fleet.Server, o *wire.Order) error {
-	if s.Leaving || inv.Servers.Get(o.Server).Leaving {
+	if s.Draining || inv.Servers.Get(o.Server).Leaving {
 		return Error.New("server %s is draining", o.Server)
 	}
 	if inv.Evacuated(s.Hall) { // (8)
@@ -178,7 +178,7 @@
 		return Error.New("%s has no memory size", Describe(o.Item))
 	}
 	used := inv.UsedBytes(o.Server, o.Accelerator)
-	if usable := s.Kind.Usable(); used > usable || o.Memory > usable-used {
+	if usable := s.Kind.UsableMemory(); used > usable || o.Memory > usable-used {
 		return Error.New("accelerator %d of server %s uses %d of %d bytes, %s needs %d", o.Accelerator, o.Server, used, usable, Describe(o.Item), o.Memory)
 	}
 	if err := inv.checkSlots(s, o); err != nil {
@@ -279,7 +279,7 @@
 		if p.Version != inv.wantedVersion(loc) {
 			continue
 		}
-		if s := inv.Server(p.Server); s != nil && !s.Leaving && !inv.Servers.Get(p.Server).GetLeaving() && !inv.Evacuated(s.Hall) {
+		if s := inv.Server(p.Server); s != nil && !s.Draining && !inv.Servers.Get(p.Server).GetLeaving() && !inv.Evacuated(s.Hall) {
 			return true
 		}
 	}
--- a/placement/limits.go
+++ b/placement/limits.go
@@ -78,9 +78,9 @@
 // benefitDuration returns how long one more copy of a model is assumed to be useful.
 func (p *planner) benefitDuration(m *fleet.Model) time.Duration {
 	if p.allLimited(m) {
-		return max(p.fleet.DemandLasts, limitDuration)
+		return max(p.fleet.DemandHorizon, limitDuration)
 	}
-	return p.fleet.DemandLasts
+	return p.fleet.DemandHorizon
 }
 
 // allLimited reports whether all copies of a model are on servers with a limit.
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -80,7 +80,7 @@
 // reserveForNeeds reserves or frees memory for models without a copy, then for those with too few
 // (1).
 func (p *planner) reserveForNeeds() {
-	loadsLeft := p.fleet.LoadsAtOnce - p.openLoads
+	loadsLeft := p.fleet.MaxConcurrentLoads - p.openLoads
 	for _, n := range p.needs() {
 		best := p.bestAccelerator(n.model)
 		if best == nil || !p.isCached(n.model, best) {
--- a/placement/ondemand.go
+++ b/placement/ondemand.go
@@ -80,9 +80,9 @@
 func (p *planner) minCopies(m *fleet.Model) int {
 	slots := p.adapterSlots[m.Pool]
 	if slots == 0 {
-		return m.Copies
+		return m.MinCopies
 	}
-	return min(max(m.Copies, (p.requestedAdapters[m.Name]+slots-1)/slots), m.MaxCopies)
+	return min(max(m.MinCopies, (p.requestedAdapters[m.Name]+slots-1)/slots), m.MaxCopies)
 }
 
 // countRequestedAdapters counts the requested on-demand adapters of each model, and the slots of
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -211,11 +211,11 @@
 		p.locations, p.residents = append(p.locations, loc), append(p.residents, r)
 	}
 	for _, s := range in.State.AllServers() {
-		serverLoad := &load{slots: float64(s.Kind.Concurrency), goodUse: p.fleet.GoodUse, limit: p.limitOf(s.Name)}
+		serverLoad := &load{slots: float64(s.Kind.Concurrency), goodUse: p.fleet.TargetUtilization, limit: p.limitOf(s.Name)}
 		serverState := in.State.Servers.Get(s.Name)
 		unusable := p.unusable(s, serverState)
 		for n := range s.Kind.Accelerators {
-			a := &accelerator{server: s, load: serverLoad, number: uint32(n), free: int64(s.Kind.Usable()), models: map[string]bool{}, unusable: unusable}
+			a := &accelerator{server: s, load: serverLoad, number: uint32(n), free: int64(s.Kind.UsableMemory()), models: map[string]bool{}, unusable: unusable}
 			a.cached = serverState.GetAtHand()
 			a.busy = unusable || in.NoOrders[s.Name] || serverState.GetQuarantined()
 			p.byServer[s.Name] = append(p.byServer[s.Name], a)
@@ -236,7 +236,7 @@
 	capacity, footprints := 0.0, 0.0
 	for _, a := range p.accs {
 		if !a.unusable {
-			capacity += float64(a.server.Kind.Usable())
+			capacity += float64(a.server.Kind.UsableMemory())
 		}
 	}
 	for _, m := range p.models {
@@ -249,7 +249,7 @@
 }
 
 func (p *planner) unusable(s *fleet.Server, serverState *wire.ServerState) bool {
-	return s.Leaving || serverState.GetIncarnation() == "" || serverState.GetLeaving() || p.in.Down[s.Name] || p.in.State.Evacuated(s.Hall)
+	return s.Draining || serverState.GetIncarnation() == "" || serverState.GetLeaving() || p.in.Down[s.Name] || p.in.State.Evacuated(s.Hall)
 }
 
 func (p *planner) countOrders() {
@@ -413,4 +413,4 @@
 }
 
 // mayLoad is rule 6.
-func (p *planner) mayLoad() bool { return p.openLoads < p.fleet.LoadsAtOnce }
+func (p *planner) mayLoad() bool { return p.openLoads < p.fleet.MaxConcurrentLoads }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -110,7 +110,7 @@
 			_, plan := converge(st, nil)
 			Expect(plan.Shortages).To(BeEmpty())
 			for name, m := range st.Fleet.Models {
-				Expect(len(readyOn(st, name, m.Version))).To(BeNumerically(">=", m.Copies), name)
+				Expect(len(readyOn(st, name, m.Version))).To(BeNumerically(">=", m.MinCopies), name)
 			}
 			for name, a := range st.Fleet.Adapters {
 				Expect(readyOn(st, name, a.Version)).NotTo(BeEmpty(), name)
@@ -310,7 +310,7 @@
 		var in placement.Input
 		BeforeEach(func() {
 			st = newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-			st.Fleet.DemandLasts, st.Fleet.MoveWeight = 15*time.Second, 3
+			st.Fleet.DemandHorizon, st.Fleet.MoveWeight = 15*time.Second, 3
 			standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 			st.Servers.Get("s2").AtHand = []string{"rare", "hot"}
 			in = placement.Input{State: st, Down: map[string]bool{"s3": true}, LeaderFor: time.Hour}
@@ -403,7 +403,7 @@
 
 	It("counts no loads on servers that are down (6)", func() {
 		st := newState(threeServers + twoMoreServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		st.Fleet.LoadsAtOnce = 1
+		st.Fleet.MaxConcurrentLoads = 1
 		st.Orders.Set(9, &wire.Order{Id: 9, Action: wire.OrderAction_ORDER_LOAD, Server: "s5", Item: &wire.Item{Model: "hot", Version: "1"}})
 		in := placement.Input{State: st, LeaderFor: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 1}}}
 		Expect(placement.Decide(in).Decisions).To(BeEmpty())
@@ -418,7 +418,7 @@
 		standin.Ready(st, "s3", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
 		standin.Ready(st, "s4", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
 		in := placement.Input{State: st, LeaderFor: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}, "a": {Requests: 0.5, BusySlots: 2}}}
-		st.Fleet.DemandLasts, st.Fleet.MoveWeight = 15*time.Second, 1
+		st.Fleet.DemandHorizon, st.Fleet.MoveWeight = 15*time.Second, 1
 		standin.Ready(st, "s5", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("b"))
 	})
@@ -438,7 +438,7 @@
 		text := threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n"
 		heavy := map[string]placement.Demand{"m": {Requests: 20, BusySlots: 16}}
 		brief := newState(text)
-		brief.Fleet.DemandLasts, brief.Fleet.MoveWeight = time.Second, 0.1
+		brief.Fleet.DemandHorizon, brief.Fleet.MoveWeight = time.Second, 0.1
 		brief.Fleet.Models["m"].LoadTime = 2 * time.Second
 		converge(brief, heavy)
 		Expect(readyOn(brief, "m", "1")).To(HaveLen(1), "it would be loaded too late")
--- a/route/route.go
+++ b/route/route.go
@@ -176,7 +176,7 @@
 func (d *Directory) updateBackends(f *fleet.Fleet) {
 	next := map[string]*Backend{}
 	for name, s := range f.Servers {
-		next[name] = d.reuse(&Backend{Name: name, Address: s.Address, Hall: s.Hall, Concurrency: s.Kind.Concurrency, ResumesStreams: s.Kind.Resumes})
+		next[name] = d.reuse(&Backend{Name: name, Address: s.Address, Hall: s.Hall, Concurrency: s.Kind.Concurrency, ResumesStreams: s.Kind.ResumesStreams})
 	}
 	for name, i := range f.Instances {
 		next[name] = d.reuse(&Backend{Name: name, Address: i.Address, Hall: i.Hall, Concurrency: i.Concurrency})
@@ -216,7 +216,7 @@
 func (d *Directory) serviceTarget(view *state.State, name string, s *fleet.Service) *Target {
 	t := &Target{Name: name, Class: s.Class, Service: s}
 	for _, i := range s.Instances {
-		if !i.Leaving && !d.terminated[i.Name] && !view.Evacuated(i.Hall) {
+		if !i.Draining && !d.terminated[i.Name] && !view.Evacuated(i.Hall) {
 			t.Backends = append(t.Backends, d.backends[i.Name])
 		}
 	}
@@ -271,7 +271,7 @@
 		return false
 	}
 	s := view.Fleet.Servers[p.Server]
-	if r.Phase != wire.Phase_PHASE_READY || s == nil || s.Leaving { // (1)
+	if r.Phase != wire.Phase_PHASE_READY || s == nil || s.Draining { // (1)
 		return false
 	}
 	return !view.Servers.Get(p.Server).GetLeaving() && !d.terminated[p.Server] && !view.Evacuated(s.Hall)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -61,7 +61,7 @@
 	for name, leave := range map[string]func(d *route.Directory, st *state.State){
 		"by the server":           func(d *route.Directory, _ *state.State) { d.Backends()["s0"].SetDraining(true) },
 		"by the platform":         func(d *route.Directory, _ *state.State) { d.SetTerminatedServers(map[string]bool{"s0": true}) },
-		"by the fleet file":       func(_ *route.Directory, st *state.State) { st.Fleet.Servers["s0"].Leaving = true },
+		"by the fleet file":       func(_ *route.Directory, st *state.State) { st.Fleet.Servers["s0"].Draining = true },
 		"by the replicated state": func(_ *route.Directory, st *state.State) { st.Servers.Get("s0").Leaving = true },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -23,85 +23,85 @@
 
 // Schema is the table of all settings of a box.
 var Schema = []conf.Section{
-	{Kind: "box", Required: true, Text: "Who this box is.", Keys: []conf.Key{
-		{Name: "name", Type: conf.Name, Required: true, Text: "The box's name, unlike that of all others."},
-		{Name: "hall", Type: conf.Name, Required: true, Text: "The data hall that it stands in."},
-		{Name: "regions", Type: conf.Lines, Default: "", Text: "HALL=REGION of each data hall, where the fleet file does not tell."},
-		{Name: "roles", Type: conf.Choices, Choices: []string{RoleControl, RoleEntry}, Default: "entry", Text: "What it does. `control` needs a data folder."},
+	{Kind: "box", Required: true, Description: "Who this box is.", Keys: []conf.Key{
+		{Name: "name", Type: conf.Name, Required: true, Description: "The box's name, unlike that of all others."},
+		{Name: "hall", Type: conf.Name, Required: true, Description: "The data hall that it stands in."},
+		{Name: "regions", Type: conf.Texts, Default: "", Description: "HALL=REGION of each data hall, where the fleet file does not tell."},
+		{Name: "roles", Type: conf.Choices, Choices: []string{RoleControl, RoleEntry}, Default: "entry", Description: "What it does. `control` needs a data folder."},
 	}},
-	{Kind: "cluster", Required: true, Text: "Whom it belongs to.", Keys: []conf.Key{
-		{Name: "name", Type: conf.Name, Required: true, Text: "The cluster's name; boxes of another one are refused."},
-		{Name: "first-members", Type: conf.Names, Default: "", Text: "The control boxes that form the cluster together once, when all of them are new. Not with `seeds`."},
-		{Name: "boxes", Type: conf.Addresses, Default: "", Text: "Box-to-box addresses known at the start: the control boxes at least. Not with `seeds`."},
-		{Name: "seeds", Type: conf.Lines, Default: "", Text: "Instead of `boxes`: any addresses (IP number:port) of boxes, each of which has its IP number for a name and this box's box-to-box port."},
-		{Name: "form", Type: conf.Bool, Default: "false", Text: "With `seeds`: whether these are the first members, all new, that form the cluster together."},
-		{Name: "voters", Type: conf.Int, Default: "0", Text: "How many boxes agree; 0: as many as there are first members."},
-		{Name: "tolerate", Type: conf.Int, Default: "0", Text: "How many voters may be lost at once; above 0 there are twice as many voters and one."},
-		{Name: "voters-need-disks", Type: conf.Bool, Default: "false", Text: "Whether boxes without a disk never stand in for a lost voter."},
+	{Kind: "cluster", Required: true, Description: "Whom it belongs to.", Keys: []conf.Key{
+		{Name: "name", Type: conf.Name, Required: true, Description: "The cluster's name; boxes of another one are refused."},
+		{Name: "first-members", Type: conf.Names, Default: "", Description: "The control boxes that form the cluster together once, when all of them are new. Not with `seeds`."},
+		{Name: "boxes", Type: conf.Addresses, Default: "", Description: "Box-to-box addresses known at the start: the control boxes at least. Not with `seeds`."},
+		{Name: "seeds", Type: conf.Texts, Default: "", Description: "Instead of `boxes`: any addresses (IP number:port) of boxes, each of which has its IP number for a name and this box's box-to-box port."},
+		{Name: "form", Type: conf.Bool, Default: "false", Description: "With `seeds`: whether these are the first members, all new, that form the cluster together."},
+		{Name: "voters", Type: conf.Int, Default: "0", Description: "How many boxes agree; 0: as many as there are first members."},
+		{Name: "tolerate", Type: conf.Int, Default: "0", Description: "How many voters may be lost at once; above 0 there are twice as many voters and one."},
+		{Name: "voters-need-disks", Type: conf.Bool, Default: "false", Description: "Whether boxes without a disk never stand in for a lost voter."},
 	}},
-	{Kind: "peer", Required: true, Text: "Box-to-box traffic.", Keys: []conf.Key{
-		{Name: "listen", Type: conf.Address, Required: true, Text: "Where this box listens for other boxes; it also calls them from this IP number."},
-		{Name: "advertise", Type: conf.Address, Default: "", Text: "The address that other boxes are told; none: `listen`."},
-		{Name: "plain-text", Type: conf.Choice, Choices: []string{"loopback", "anywhere"}, Default: "loopback", Text: "Where box-to-box and operators' traffic may go without TLS."},
+	{Kind: "peer", Required: true, Description: "Box-to-box traffic.", Keys: []conf.Key{
+		{Name: "listen", Type: conf.Address, Required: true, Description: "Where this box listens for other boxes; it also calls them from this IP number."},
+		{Name: "advertise", Type: conf.Address, Default: "", Description: "The address that other boxes are told; none: `listen`."},
+		{Name: "plain-text", Type: conf.Choice, Choices: []string{"loopback", "anywhere"}, Default: "loopback", Description: "Where box-to-box and operators' traffic may go without TLS."},
 	}},
-	{Kind: "entry", Text: "Callers' traffic.", Keys: []conf.Key{
-		{Name: "listen", Type: conf.Address, Default: "", Text: "Where callers reach this box; needed by the role entry."},
-		{Name: "dialect", Type: conf.Choice, Choices: []string{DialectOwn, DialectPlatform}, Default: DialectOwn, Text: "How headers of requests by host and path are named."},
-		{Name: "parting", Type: conf.Duration, Default: "0s", Text: "How long a backend server that leaves still gets requests that no other can take. Less than it keeps serving."},
-		{Name: "ready-listen", Type: conf.Address, Default: "", Text: "Where the platform asks whether this box takes requests; none: nowhere."},
-		{Name: "max-body", Type: conf.Bytes, Default: "8MiB", Text: "Largest body of a request."},
-		{Name: "header-timeout", Type: conf.Duration, Default: "5s", Text: "How long a caller may take to send the headers."},
-		{Name: "body-timeout", Type: conf.Duration, Default: "30s", Text: "How long a caller may take to send a whole request."},
-		{Name: "balancer-lag", Type: conf.Duration, Default: "3s", Text: "How long requests are still taken after the readiness check failed at a planned stop."},
-		{Name: "stop-timeout", Type: conf.Duration, Default: "10m", Text: "How long a planned stop waits for requests in flight."},
+	{Kind: "entry", Description: "Callers' traffic.", Keys: []conf.Key{
+		{Name: "listen", Type: conf.Address, Default: "", Description: "Where callers reach this box; needed by the role entry."},
+		{Name: "dialect", Type: conf.Choice, Choices: []string{DialectOwn, DialectPlatform}, Default: DialectOwn, Description: "How headers of requests by host and path are named."},
+		{Name: "parting", Type: conf.Duration, Default: "0s", Description: "How long a backend server that leaves still gets requests that no other can take. Less than it keeps serving."},
+		{Name: "ready-listen", Type: conf.Address, Default: "", Description: "Where the platform asks whether this box takes requests; none: nowhere."},
+		{Name: "max-body", Type: conf.Bytes, Default: "8MiB", Description: "Largest body of a request."},
+		{Name: "header-timeout", Type: conf.Duration, Default: "5s", Description: "How long a caller may take to send the headers."},
+		{Name: "body-timeout", Type: conf.Duration, Default: "30s", Description: "How long a caller may take to send a whole request."},
+		{Name: "balancer-lag", Type: conf.Duration, Default: "3s", Description: "How long requests are still taken after the readiness check failed at a planned stop."},
+		{Name: "stop-timeout", Type: conf.Duration, Default: "10m", Description: "How long a planned stop waits for requests in flight."},
 	}},
-	{Kind: "operator", Required: true, Text: "Operators' traffic, metrics and health.", Keys: []conf.Key{
-		{Name: "listen", Type: conf.Address, Required: true, Text: "Where operators reach this box."},
-		{Name: "platform-listen", Type: conf.Address, Default: "", Text: "Where the platform's operators and the backend servers that announce themselves reach this box; none: nowhere."},
-		{Name: "accept-wait", Type: conf.Duration, Default: "4s", Text: "How long an apply waits for all boxes that were heard lately to have the file in force, before a majority of them is enough."},
-		{Name: "accept-most", Type: conf.Duration, Default: "8s", Text: "How long after a file was agreed an apply of it waits for a majority of the boxes, over all its sendings."},
+	{Kind: "operator", Required: true, Description: "Operators' traffic, metrics and health.", Keys: []conf.Key{
+		{Name: "listen", Type: conf.Address, Required: true, Description: "Where operators reach this box."},
+		{Name: "platform-listen", Type: conf.Address, Default: "", Description: "Where the platform's operators and the backend servers that announce themselves reach this box; none: nowhere."},
+		{Name: "accept-wait", Type: conf.Duration, Default: "4s", Description: "How long an apply waits for all boxes that were heard lately to have the file in force, before a majority of them is enough."},
+		{Name: "accept-most", Type: conf.Duration, Default: "8s", Description: "How long after a file was agreed an apply of it waits for a majority of the boxes, over all its sendings."},
 	}},
-	{Kind: "orders", Text: "Orders to model servers.", Keys: []conf.Key{
-		{Name: "pause", Type: conf.Duration, Default: "0s", Text: "How long a new leader gives no orders, so that the one before it surely gives none."},
-		{Name: "demand-settles", Type: conf.Duration, Default: "10s", Text: "How long a new leader waits for demand to be reported before it moves anything for its sake."},
+	{Kind: "orders", Description: "Orders to model servers.", Keys: []conf.Key{
+		{Name: "pause", Type: conf.Duration, Default: "0s", Description: "How long a new leader gives no orders, so that the one before it surely gives none."},
+		{Name: "demand-settles", Type: conf.Duration, Default: "10s", Description: "How long a new leader waits for demand to be reported before it moves anything for its sake."},
 	}},
-	{Kind: "budget", Text: "Repeats of requests by host and path, over all boxes together.", Keys: []conf.Key{
-		{Name: "ratio", Type: conf.Float, Default: "0.1", Text: "Repeats that each request to a service earns."},
-		{Name: "slack", Type: conf.Float, Default: "20", Text: "Repeats to a service that are allowed besides, in each window."},
-		{Name: "window", Type: conf.Duration, Default: "10s", Text: "The span that is counted."},
+	{Kind: "budget", Description: "Repeats of requests by host and path, over all boxes together.", Keys: []conf.Key{
+		{Name: "ratio", Type: conf.Float, Default: "0.1", Description: "Repeats that each request to a service earns."},
+		{Name: "slack", Type: conf.Float, Default: "20", Description: "Repeats to a service that are allowed besides, in each window."},
+		{Name: "window", Type: conf.Duration, Default: "10s", Description: "The span that is counted."},
 	}},
-	{Kind: "upgrade", Text: "Builds that replace one another.", Keys: []conf.Key{
-		{Name: "settles", Type: conf.Duration, Default: "10m", Text: "How long all boxes run a build before the cluster uses what only that one knows. Until then the build before can be brought back."},
+	{Kind: "upgrade", Description: "Builds that replace one another.", Keys: []conf.Key{
+		{Name: "settles", Type: conf.Duration, Default: "10m", Description: "How long all boxes run a build before the cluster uses what only that one knows. Until then the build before can be brought back."},
 	}},
-	{Kind: "quotas", Text: "Quotas of workspaces, over all boxes together.", Keys: []conf.Key{
-		{Name: "window", Type: conf.Duration, Default: "8s", Text: "The span over which they are judged: a request that no such span bears is told so at once."},
+	{Kind: "quotas", Description: "Quotas of workspaces, over all boxes together.", Keys: []conf.Key{
+		{Name: "window", Type: conf.Duration, Default: "8s", Description: "The span over which they are judged: a request that no such span bears is told so at once."},
 	}},
-	{Kind: "limits", Text: "What the process may use.", Keys: []conf.Key{
-		{Name: "memory", Type: conf.Bytes, Default: "0B", Text: "Memory of the process; 0: no limit. The garbage collector keeps below four fifths of it."},
+	{Kind: "limits", Description: "What the process may use.", Keys: []conf.Key{
+		{Name: "memory", Type: conf.Bytes, Default: "0B", Description: "Memory of the process; 0: no limit. The garbage collector keeps below four fifths of it."},
 	}},
-	{Kind: "data", Text: "The data folder.", Keys: []conf.Key{
-		{Name: "folder", Type: conf.Text, Default: "", Text: "Folder for the agreed state; needed by the role control."},
-		{Name: "limit", Type: conf.Bytes, Default: "1GiB", Text: "Most bytes that the folder may take; beyond, applies are refused."},
-		{Name: "compact-after", Type: conf.Int, Default: "1024", Min: 8, Text: "Log entries after which a snapshot is taken."},
+	{Kind: "data", Description: "The data folder.", Keys: []conf.Key{
+		{Name: "folder", Type: conf.Text, Default: "", Description: "Folder for the agreed state; needed by the role control."},
+		{Name: "limit", Type: conf.Bytes, Default: "1GiB", Description: "Most bytes that the folder may take; beyond, applies are refused."},
+		{Name: "compact-after", Type: conf.Int, Default: "1024", Min: 8, Description: "Log entries after which a snapshot is taken."},
 	}},
-	{Kind: "tls", Text: "Certificates for box-to-box and operators' traffic. Read again when the files change.", Keys: []conf.Key{
-		{Name: "certificate", Type: conf.Text, Default: "", Text: "File with this box's certificate; its name must be the box's."},
-		{Name: "key", Type: conf.Text, Default: "", Text: "File with the certificate's key."},
-		{Name: "authority", Type: conf.Text, Default: "", Text: "File with the certificates that peers and operators are checked against."},
+	{Kind: "tls", Description: "Certificates for box-to-box and operators' traffic. Read again when the files change.", Keys: []conf.Key{
+		{Name: "certificate", Type: conf.Text, Default: "", Description: "File with this box's certificate; its name must be the box's."},
+		{Name: "key", Type: conf.Text, Default: "", Description: "File with the certificate's key."},
+		{Name: "authority", Type: conf.Text, Default: "", Description: "File with the certificates that peers and operators are checked against."},
 	}},
-	{Kind: "platform", Text: "The platform's list of live and leaving machines.", Keys: []conf.Key{
-		{Name: "address", Type: conf.Address, Default: "", Text: "Where the list is read; none: no list."},
-		{Name: "every", Type: conf.Duration, Default: "1s", Text: "Time between two reads."},
+	{Kind: "platform", Description: "The platform's list of live and leaving machines.", Keys: []conf.Key{
+		{Name: "address", Type: conf.Address, Default: "", Description: "Where the list is read; none: no list."},
+		{Name: "every", Type: conf.Duration, Default: "1s", Description: "Time between two reads."},
 	}},
-	{Kind: "timing", Text: "Timings of agreement; the same on all boxes.", Keys: []conf.Key{
-		{Name: "election", Type: conf.Duration, Default: "600ms", Text: "Least time without a leader before another is elected."},
-		{Name: "heartbeat", Type: conf.Duration, Default: "100ms", Text: "Time between two heartbeats of a leader."},
-		{Name: "lease", Type: conf.Duration, Default: "450ms", Text: "How long a heartbeat that a quorum answered lets its sender lead. Below `election`."},
-		{Name: "config-lease", Type: conf.Duration, Default: "3s", Text: "How old the news from a leader may be before a box must ask other boxes whether it is current."},
-		{Name: "repair-after", Type: conf.Duration, Default: "5s", Text: "Silence after which a voter is replaced."},
+	{Kind: "timing", Description: "Timings of agreement; the same on all boxes.", Keys: []conf.Key{
+		{Name: "election", Type: conf.Duration, Default: "600ms", Description: "Least time without a leader before another is elected."},
+		{Name: "heartbeat", Type: conf.Duration, Default: "100ms", Description: "Time between two heartbeats of a leader."},
+		{Name: "lease", Type: conf.Duration, Default: "450ms", Description: "How long a heartbeat that a quorum answered lets its sender lead. Below `election`."},
+		{Name: "config-lease", Type: conf.Duration, Default: "3s", Description: "How old the news from a leader may be before a box must ask other boxes whether it is current."},
+		{Name: "repair-after", Type: conf.Duration, Default: "5s", Description: "Silence after which a voter is replaced."},
 	}},
-	{Kind: "log", Text: "Logs.", Keys: []conf.Key{
-		{Name: "level", Type: conf.Choice, Choices: []string{"debug", "info", "warn", "error"}, Default: "info", Text: "Least level that is written."},
+	{Kind: "log", Description: "Logs.", Keys: []conf.Key{
+		{Name: "level", Type: conf.Choice, Choices: []string{"debug", "info", "warn", "error"}, Default: "info", Description: "Least level that is written."},
 	}},
 }
 
@@ -125,18 +125,18 @@
 	Boxes map[string]string
 	// Seeded tells that Boxes come from seeds; Form whether they are new.
 	Seeded          bool
-	Form            bool
+	FormCluster     bool
 	Voters          int
 	VotersNeedDisks bool
 
-	PeerListen    string
-	PeerAdvertise string
-	PlainAnywhere bool
+	PeerListen     string
+	PeerAdvertise  string
+	AllowPlaintext bool
 
 	EntryListen   string
 	Dialect       string
 	ReadyListen   string
-	Parting       time.Duration
+	DrainingGrace time.Duration
 	MaxBody       int64
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
@@ -146,16 +146,16 @@
 	OperatorListen string
 	PlatformListen string
 	AcceptWait     time.Duration
-	AcceptMost     time.Duration
+	MaxAcceptWait  time.Duration
 
-	OrderPause     time.Duration
-	DemandSettles  time.Duration
-	BudgetRatio    float64
-	BudgetSlack    float64
-	BudgetWindow   time.Duration
-	QuotaWindow    time.Duration
-	UpgradeSettles time.Duration
-	Memory         int64
+	OrderPause        time.Duration
+	DemandSettleTime  time.Duration
+	BudgetRatio       float64
+	BudgetSlack       float64
+	BudgetWindow      time.Duration
+	QuotaWindow       time.Duration
+	UpgradeSettleTime time.Duration
+	MemoryLimit       int64
 
 	DataFolder   string
 	DataLimit    int64
@@ -163,8 +163,8 @@
 
 	TLS TLS
 
-	PlatformAddress string
-	PlatformEvery   time.Duration
+	PlatformAddress  string
+	PlatformInterval time.Duration
 
 	Election    time.Duration
 	Heartbeat   time.Duration
@@ -178,14 +178,14 @@
 // TLS names certificate files; all empty means plain text.
 type TLS struct{ Certificate, Key, Authority string }
 
-// On reports whether TLS is set up.
-func (t TLS) On() bool { return t.Certificate != "" }
+// Enabled reports whether TLS is set up.
+func (t TLS) Enabled() bool { return t.Certificate != "" }
 
-// Control reports whether the box keeps the agreed state.
-func (s *Settings) Control() bool { return slices.Contains(s.Roles, RoleControl) }
+// IsControl reports whether the box keeps the agreed state.
+func (s *Settings) IsControl() bool { return slices.Contains(s.Roles, RoleControl) }
 
-// Entry reports whether the box takes callers' requests.
-func (s *Settings) Entry() bool { return slices.Contains(s.Roles, RoleEntry) }
+// IsEntry reports whether the box takes callers' requests.
+func (s *Settings) IsEntry() bool { return slices.Contains(s.Roles, RoleEntry) }
 
 // Load reads and checks a file. The error is conf.Faults when the file is at
 // fault.
@@ -209,27 +209,27 @@
 }
 
 func decode(d *conf.Document) *Settings {
-	box, cluster, peer := d.Part("box"), d.Part("cluster"), d.Part("peer")
-	entry, data, tls := d.Part("entry"), d.Part("data"), d.Part("tls")
-	timing, platform, operator, budget := d.Part("timing"), d.Part("platform"), d.Part("operator"), d.Part("budget")
+	box, cluster, peer := d.Section("box"), d.Section("cluster"), d.Section("peer")
+	entry, data, tls := d.Section("entry"), d.Section("data"), d.Section("tls")
+	timing, platform, operator, budget := d.Section("timing"), d.Section("platform"), d.Section("operator"), d.Section("budget")
 	s := &Settings{
 		Box: box.String("name"), Hall: box.String("hall"), Regions: pairs(box.List("regions")), Roles: box.List("roles"),
 		Cluster: cluster.String("name"), FirstMembers: cluster.List("first-members"), Boxes: pairs(cluster.List("boxes")),
-		PeerListen: peer.String("listen"), PeerAdvertise: cmp.Or(peer.String("advertise"), peer.String("listen")), PlainAnywhere: peer.String("plain-text") == "anywhere",
+		PeerListen: peer.String("listen"), PeerAdvertise: cmp.Or(peer.String("advertise"), peer.String("listen")), AllowPlaintext: peer.String("plain-text") == "anywhere",
 		EntryListen: entry.String("listen"), MaxBody: int64(entry.Bytes("max-body")),
 		HeaderTimeout: entry.Duration("header-timeout"), BodyTimeout: entry.Duration("body-timeout"), BalancerLag: entry.Duration("balancer-lag"), StopTimeout: entry.Duration("stop-timeout"),
-		Form: cluster.Bool("form"), Voters: votersOf(cluster.Int("voters"), cluster.Int("tolerate")), VotersNeedDisks: cluster.Bool("voters-need-disks"),
-		Dialect: entry.String("dialect"), ReadyListen: entry.String("ready-listen"), Parting: entry.Duration("parting"),
-		OperatorListen: operator.String("listen"), PlatformListen: operator.String("platform-listen"), AcceptWait: operator.Duration("accept-wait"), AcceptMost: operator.Duration("accept-most"),
-		OrderPause: d.Part("orders").Duration("pause"), DemandSettles: d.Part("orders").Duration("demand-settles"),
-		BudgetRatio: budget.Float("ratio"), BudgetSlack: budget.Float("slack"), BudgetWindow: budget.Duration("window"), QuotaWindow: d.Part("quotas").Duration("window"), UpgradeSettles: d.Part("upgrade").Duration("settles"),
-		Memory:     int64(d.Part("limits").Bytes("memory")),
-		DataFolder: data.String("folder"), DataLimit: int64(data.Bytes("limit")), CompactAfter: data.Int("compact-after"),
+		FormCluster: cluster.Bool("form"), Voters: votersOf(cluster.Int("voters"), cluster.Int("tolerate")), VotersNeedDisks: cluster.Bool("voters-need-disks"),
+		Dialect: entry.String("dialect"), ReadyListen: entry.String("ready-listen"), DrainingGrace: entry.Duration("parting"),
+		OperatorListen: operator.String("listen"), PlatformListen: operator.String("platform-listen"), AcceptWait: operator.Duration("accept-wait"), MaxAcceptWait: operator.Duration("accept-most"),
+		OrderPause: d.Section("orders").Duration("pause"), DemandSettleTime: d.Section("orders").Duration("demand-settles"),
+		BudgetRatio: budget.Float("ratio"), BudgetSlack: budget.Float("slack"), BudgetWindow: budget.Duration("window"), QuotaWindow: d.Section("quotas").Duration("window"), UpgradeSettleTime: d.Section("upgrade").Duration("settles"),
+		MemoryLimit: int64(d.Section("limits").Bytes("memory")),
+		DataFolder:  data.String("folder"), DataLimit: int64(data.Bytes("limit")), CompactAfter: data.Int("compact-after"),
 		TLS:             TLS{tls.String("certificate"), tls.String("key"), tls.String("authority")},
-		PlatformAddress: platform.String("address"), PlatformEvery: platform.Duration("every"),
+		PlatformAddress: platform.String("address"), PlatformInterval: platform.Duration("every"),
 		Election: timing.Duration("election"), Heartbeat: timing.Duration("heartbeat"), Lease: timing.Duration("lease"),
 		ConfigLease: timing.Duration("config-lease"), RepairAfter: timing.Duration("repair-after"),
-		LogLevel: d.Part("log").String("level"),
+		LogLevel: d.Section("log").String("level"),
 	}
 	s.takeSeeds(d, cluster.List("seeds"))
 	return s
@@ -254,13 +254,13 @@
 	for _, seed := range seeds {
 		a, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			d.Part("cluster").Fault("seeds", seed+" is no address", "IP number:port")
+			d.Section("cluster").AddFault("seeds", seed+" is no address", "IP number:port")
 			continue
 		}
 		name := a.Addr().String()
 		s.Boxes[name] = netip.AddrPortFrom(a.Addr(), own.Port()).String()
 	}
-	if s.Form {
+	if s.FormCluster {
 		s.FirstMembers = slices.Sorted(maps.Keys(s.Boxes))
 	}
 }
@@ -287,53 +287,53 @@
 
 // crossCheck finds the faults that concern several keys.
 func crossCheck(d *conf.Document, s *Settings) {
-	if s.Control() && s.DataFolder == "" {
-		d.Part("data").Fault("folder", "the role control needs a data folder", "a path")
+	if s.IsControl() && s.DataFolder == "" {
+		d.Section("data").AddFault("folder", "the role control needs a data folder", "a path")
 	}
-	if s.Entry() && s.EntryListen == "" {
-		d.Part("entry").Fault("listen", "the role entry needs an address for callers", "IP number:port")
+	if s.IsEntry() && s.EntryListen == "" {
+		d.Section("entry").AddFault("listen", "the role entry needs an address for callers", "IP number:port")
 	}
 	for hall, region := range s.Regions {
 		if !conf.ValidName(hall) || region == "" {
-			d.Part("box").Fault("regions", "holds something other than HALL=REGION", "HALL=REGION, separated by commas")
+			d.Section("box").AddFault("regions", "holds something other than HALL=REGION", "HALL=REGION, separated by commas")
 		}
 	}
 	if s.Lease >= s.Election {
-		d.Part("timing").Fault("lease", "is not below election", "less than "+s.Election.String())
+		d.Section("timing").AddFault("lease", "is not below election", "less than "+s.Election.String())
 	}
 	if s.Heartbeat*3 > s.Lease {
-		d.Part("timing").Fault("heartbeat", "leaves no room for a lost heartbeat in the lease", "at most a third of lease")
+		d.Section("timing").AddFault("heartbeat", "leaves no room for a lost heartbeat in the lease", "at most a third of lease")
 	}
 	if s.ConfigLease <= s.Election*2 {
-		d.Part("timing").Fault("config-lease", "ends before a new leader can be elected", "more than "+(s.Election*2).String())
+		d.Section("timing").AddFault("config-lease", "ends before a new leader can be elected", "more than "+(s.Election*2).String())
 	}
 	if !s.Seeded && (len(s.FirstMembers) == 0 || len(s.Boxes) == 0) {
-		d.Part("cluster").Fault("boxes", "neither first-members and boxes nor seeds are set", "one or the other")
+		d.Section("cluster").AddFault("boxes", "neither first-members and boxes nor seeds are set", "one or the other")
 	}
-	if s.Seeded && len(d.Part("cluster").List("boxes")) > 0 {
-		d.Part("cluster").Fault("seeds", "stands beside boxes", "one or the other")
+	if s.Seeded && len(d.Section("cluster").List("boxes")) > 0 {
+		d.Section("cluster").AddFault("seeds", "stands beside boxes", "one or the other")
 	}
 	for _, name := range s.FirstMembers {
 		if s.Boxes[name] == "" {
-			d.Part("cluster").Fault("boxes", "lacks the first member "+name, "an address for each first member")
+			d.Section("cluster").AddFault("boxes", "lacks the first member "+name, "an address for each first member")
 		}
 	}
 	set := []bool{s.TLS.Certificate != "", s.TLS.Key != "", s.TLS.Authority != ""}
 	if slices.Contains(set, true) && slices.Contains(set, false) {
-		d.Part("tls").Fault("certificate", "only some of the TLS files are named", "certificate, key and authority, or none")
+		d.Section("tls").AddFault("certificate", "only some of the TLS files are named", "certificate, key and authority, or none")
 	}
 	s.checkPlain(d)
 }
 
 // checkPlain refuses plain text beyond loopback unless it was asked for.
 func (s *Settings) checkPlain(d *conf.Document) {
-	if s.TLS.On() || s.PlainAnywhere {
+	if s.TLS.Enabled() || s.AllowPlaintext {
 		return
 	}
 	for section, address := range map[string]string{"peer": s.PeerListen, "operator": s.OperatorListen} {
 		a, err := netip.ParseAddrPort(address)
 		if err == nil && !a.Addr().IsLoopback() {
-			d.Part(section).Fault("listen", address+" is open to others in plain text", "loopback, or TLS, or [peer] plain-text = anywhere")
+			d.Section(section).AddFault("listen", address+" is open to others in plain text", "loopback, or TLS, or [peer] plain-text = anywhere")
 		}
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -39,7 +39,7 @@
 	It("are read with their defaults", func() {
 		s, err := settings.Parse("box.ini", []byte(good))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(s.Control()).To(BeTrue())
+		Expect(s.IsControl()).To(BeTrue())
 		Expect(s.Boxes).To(HaveKeyWithValue("one", "127.0.0.1:7001"))
 		Expect(s.MaxBody).To(BeEquivalentTo(8 << 20))
 	})
--- a/state/announce_test.go
+++ b/state/announce_test.go
@@ -21,7 +21,7 @@
 		f := fleet.New()
 		f.Number = 1
 		f.Pools["p"] = &fleet.Pool{Name: "p", Kind: &fleet.Kind{Name: "p", Accelerators: 1, Memory: 100, Concurrency: 4, CountsOrders: true, AdapterSlots: 2}}
-		f.Models["m"] = &fleet.Model{Name: "m", Version: "v", Memory: 60, Copies: 1, MaxCopies: 9, Pool: "p"}
+		f.Models["m"] = &fleet.Model{Name: "m", Version: "v", Memory: 60, MinCopies: 1, MaxCopies: 9, Pool: "p"}
 		for _, name := range []string{"m/a1", "m/a2", "m/a3"} {
 			f.Adapters[name] = &fleet.Adapter{Name: name, Model: "m", Version: "v", Memory: 1, OnDemand: true}
 		}
--- a/state/state.go
+++ b/state/state.go
@@ -260,7 +260,7 @@
 	}
 	wanted := uint32(1)
 	if m := s.Fleet.Models[item.Model]; m != nil {
-		wanted = uint32(m.Copies)
+		wanted = uint32(m.MinCopies)
 	}
 	if have <= s.MaxCopies[name] || have > wanted {
 		s.Moves++
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -172,7 +172,7 @@
 		return false
 	}
 	view := t.opts.View()
-	if len(view.Limits) > 0 || view.Fleet != nil && view.Fleet.WarmsUp {
+	if len(view.Limits) > 0 || view.Fleet != nil && view.Fleet.HasWarmUp {
 		return true
 	}
 	t.mu.Lock()
@@ -213,7 +213,7 @@
 // warmUpLimit returns the limit by rule 5, 0 for none.
 func (t *Throttle) warmUpLimit(server string) dialect.Limit {
 	view := t.opts.View()
-	if view.Fleet == nil || !view.Fleet.WarmsUp {
+	if view.Fleet == nil || !view.Fleet.HasWarmUp {
 		return 0
 	}
 	if limit := view.WarmUpLimit(server); limit != 0 {
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -169,7 +169,7 @@
 	view := state.New()
 	view.Fleet = fleet.New()
 	view.Fleet.Pools["p"] = &fleet.Pool{Name: "p", WarmUpRate: 8}
-	view.Fleet.WarmsUp = true
+	view.Fleet.HasWarmUp = true
 	view.Announcements.Set("s", &wire.Announcement{Id: "s", Service: "p"})
 	x, _, _ := newThrottle(t, view)
 	g.Expect(x.Active()).To(BeTrue())
