--- a/admin/admin.go
+++ b/admin/admin.go
@@ -51,8 +51,8 @@
 	Ready   func() (bool, string)
 	Records *record.History
 	Meters  *meter.Meters
-	// Standing returns what this box knows of a workspace's quota; nil where it serves none.
-	Standing func(rate.Key) (rate.LimitStatus, bool)
+	// QuotaStatus returns what this box knows of a workspace's quota; nil where it serves none.
+	QuotaStatus func(rate.Key) (rate.LimitStatus, bool)
 	// Pushback is what servers said to this box of themselves; nil where it sends no requests.
 	Pushback *pushback.Registry
 }
@@ -105,9 +105,9 @@
 	// refused or unknown.
 	Outcome string   `json:"outcome"`
 	Winner  *Version `json:"winner,omitempty"`
-	// InForce counts the boxes that had the file when this answer was made.
-	InForce int `json:"in_force"`
-	Boxes   int `json:"boxes"`
+	// AppliedBy counts the boxes that had the file when this answer was made.
+	AppliedBy int `json:"in_force"`
+	Boxes     int `json:"boxes"`
 	// Reason and Text are set when the file was not accepted.
 	Reason string       `json:"reason,omitempty"`
 	Text   string       `json:"text,omitempty"`
@@ -167,7 +167,7 @@
 }
 
 func (a *Admin) applied(w http.ResponseWriter, result *wire.ApplyResult) {
-	answer := &ApplyAnswer{Outcome: result.Outcome, Winner: version(result.Winner), InForce: int(result.InForce), Boxes: int(result.Boxes)}
+	answer := &ApplyAnswer{Outcome: result.Outcome, Winner: version(result.Winner), AppliedBy: int(result.InForce), Boxes: int(result.Boxes)}
 	switch state.ApplyOutcome(result.Outcome) {
 	case state.Conflict:
 		a.refuse(w, reason.FileConflict, answer)
@@ -177,7 +177,7 @@
 		a.refuse(w, reason.FileInvalid, answer)
 	default:
 		status := http.StatusOK
-		if answer.InForce <= answer.Boxes/2 {
+		if answer.AppliedBy <= answer.Boxes/2 {
 			// Agreed, but not yet in force on a majority of the boxes.
 			status = http.StatusAccepted
 		}
@@ -185,13 +185,13 @@
 	}
 }
 
-// HeldRow is a request that is kept from servers of a software version, since they ended while they ran it.
-type HeldRow struct {
-	Print   string    `json:"print"`
-	Version string    `json:"version,omitempty"`
-	Servers []string  `json:"servers"` // that ended last, the newest last
-	Holds   uint32    `json:"holds"`
-	Since   time.Time `json:"since"`
+// BlockedRow is a request that is kept from servers of a software version, since they ended while they ran it.
+type BlockedRow struct {
+	Fingerprint string    `json:"print"`
+	Version     string    `json:"version,omitempty"`
+	Servers     []string  `json:"servers"` // that ended last, the newest last
+	BlockCount  uint32    `json:"holds"`
+	Since       time.Time `json:"since"`
 }
 
 // LimitRow is a backend server that takes no more than it names.
@@ -226,7 +226,7 @@
 	Name    string   `json:"name"`
 	Version string   `json:"version"`
 	Ready   []string `json:"ready"`
-	Coming  []string `json:"coming,omitempty"`
+	Loading []string `json:"coming,omitempty"`
 }
 
 // Status is what is in force, read from the leader.
@@ -240,18 +240,18 @@
 	Models []ModelRow `json:"models"`
 	Orders int        `json:"open_orders"`
 	// Level is in force; Waits says what a higher one waits for.
-	Level level.Level `json:"level"`
-	Waits string      `json:"level_waits,omitempty"`
-	Moves uint64      `json:"moves"`
-	// Held are the requests that are kept from servers.
-	Held []HeldRow `json:"held,omitempty"`
+	Level        level.Level `json:"level"`
+	LevelBlocker string      `json:"level_waits,omitempty"`
+	Moves        uint64      `json:"moves"`
+	// Blocked are the requests that are kept from servers.
+	Blocked []BlockedRow `json:"held,omitempty"`
 	// Limits are the backend servers that name one.
 	Limits []LimitRow `json:"limits,omitempty"`
 	// Evacuations are the data halls whose servers get nothing.
 	Evacuations []EvacuationRow `json:"evacuations,omitempty"`
-	// Asked is the box that was asked, and Said what backend servers said to it of their rest or end.
-	Asked string                  `json:"asked,omitempty"`
-	Said  []pushback.ServerStatus `json:"said,omitempty"`
+	// AnsweredBy is the box that was asked, and Said what backend servers said to it of their rest or end.
+	AnsweredBy     string                  `json:"asked,omitempty"`
+	ServerStatuses []pushback.ServerStatus `json:"said,omitempty"`
 }
 
 func (a *Admin) read(ctx context.Context) (*wire.ReadResult, *reason.Reason) {
@@ -300,7 +300,7 @@
 		a.refuse(w, reason.Busy, nil)
 		return
 	}
-	s.Asked, s.Said = a.opts.Box, a.opts.Pushback.Statuses()
+	s.AnsweredBy, s.ServerStatuses = a.opts.Box, a.opts.Pushback.Statuses()
 	a.reply(w, http.StatusOK, s)
 }
 
@@ -311,31 +311,31 @@
 	}
 	s := &Status{
 		Fleet: version(st.Version), Index: result.Index, Term: result.Term, Leader: result.Leader, Voters: result.Voters,
-		Orders: st.Orders.Len(), Moves: st.Moves, Boxes: boxRows(st, result), Models: modelRows(st), Held: heldRows(st), Limits: limitRows(st), Evacuations: evacuationRows(st),
-		Level: st.Level, Waits: levelWaits(st),
+		Orders: st.Orders.Len(), Moves: st.Moves, Boxes: boxRows(st, result), Models: modelRows(st), Blocked: heldRows(st), Limits: limitRows(st), Evacuations: evacuationRows(st),
+		Level: st.Level, LevelBlocker: levelWaits(st),
 	}
 	return s, nil
 }
 
 // Explanation is the answer to explain.
 type Explanation struct {
-	Box       string            `json:"box"`
-	About     string            `json:"about"`
-	Now       []string          `json:"now,omitempty"`
-	Decisions []record.Decision `json:"decisions"`
+	Box          string            `json:"box"`
+	Subject      string            `json:"about"`
+	CurrentState []string          `json:"now,omitempty"`
+	Decisions    []record.Decision `json:"decisions"`
 }
 
 func (a *Admin) explain(w http.ResponseWriter, r *http.Request) {
 	name := chi.URLParam(r, "name")
-	e := &Explanation{Box: a.opts.Box, About: name, Decisions: a.opts.Records.ByName(name)}
+	e := &Explanation{Box: a.opts.Box, Subject: name, Decisions: a.opts.Records.ByName(name)}
 	for _, res := range a.opts.View().Encode().Residents {
 		if res.Item.Adapter == name || res.Item.Adapter == "" && res.Item.Model == name || res.Server == name {
-			e.Now = append(e.Now, ledger.Describe(res.Item)+" on "+res.Server+": "+phaseName(res.Phase))
+			e.CurrentState = append(e.CurrentState, ledger.Describe(res.Item)+" on "+res.Server+": "+phaseName(res.Phase))
 		}
 	}
-	e.Now = append(e.Now, a.explainWorkspace(name)...)
-	e.Now = append(e.Now, a.explainServer(name)...)
-	if len(e.Decisions) == 0 && len(e.Now) == 0 {
+	e.CurrentState = append(e.CurrentState, a.explainWorkspace(name)...)
+	e.CurrentState = append(e.CurrentState, a.explainServer(name)...)
+	if len(e.Decisions) == 0 && len(e.CurrentState) == 0 {
 		a.refuse(w, reason.NotFound, nil)
 		return
 	}
--- a/admin/rows.go
+++ b/admin/rows.go
@@ -73,7 +73,7 @@
 		if r.Phase == wire.Phase_PHASE_READY {
 			row.Ready = append(row.Ready, r.Server)
 		} else if r.Phase == wire.Phase_PHASE_LOADING {
-			row.Coming = append(row.Coming, r.Server)
+			row.Loading = append(row.Loading, r.Server)
 		}
 	}
 	var list []ModelRow
@@ -89,13 +89,13 @@
 	return s != nil && !s.Draining
 }
 
-func heldRows(st *state.State) (rows []HeldRow) {
+func heldRows(st *state.State) (rows []BlockedRow) {
 	for _, s := range st.Crashers.Encode() {
 		if !s.Held {
 			continue
 		}
 		p, _ := crasher.ParseFingerprint(s.Print) // the agreed table takes no others
-		rows = append(rows, HeldRow{Print: p.String(), Version: s.Version, Servers: s.Servers, Holds: s.Holds, Since: time.UnixMilli(s.UnixMs).UTC()})
+		rows = append(rows, BlockedRow{Fingerprint: p.String(), Version: s.Version, Servers: s.Servers, BlockCount: s.Holds, Since: time.UnixMilli(s.UnixMs).UTC()})
 	}
 	return rows
 }
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -28,10 +28,10 @@
 		return append(lines, "no limit")
 	}
 	lines = append(lines, fmt.Sprintf("limit: %.0f %s a second and a burst of %.0f, over all boxes", w.Quota.Rate, w.Quota.Unit, w.Quota.Burst))
-	if a.opts.Standing == nil {
+	if a.opts.QuotaStatus == nil {
 		return lines
 	}
-	return append(lines, standingLine(w, a.opts.Standing))
+	return append(lines, standingLine(w, a.opts.QuotaStatus))
 }
 
 func standingLine(w *workspace.Workspace, of func(rate.Key) (rate.LimitStatus, bool)) string {
--- a/box/box.go
+++ b/box/box.go
@@ -346,7 +346,7 @@
 	p.platform = platform.Control(&platformCluster{b, p})
 	p.admin = admin.New(admin.Options{
 		Box: s.Box, Cluster: &forwarder{b, p}, View: r.View, Ready: b.ready, Records: b.records, Meters: b.meters,
-		Standing: p.quotas.limiter.Status, Pushback: p.pushback,
+		QuotaStatus: p.quotas.limiter.Status, Pushback: p.pushback,
 	})
 	return p, nil
 }
--- a/box/crasher_test.go
+++ b/box/crasher_test.go
@@ -167,8 +167,8 @@
 
 // held returns the prints that the operators' status lists as kept from servers.
 func (s *several) held() (prints []string) {
-	for _, h := range s.status().Held {
-		prints = append(prints, h.Print)
+	for _, h := range s.status().Blocked {
+		prints = append(prints, h.Fingerprint)
 	}
 	return prints
 }
--- a/command/command.go
+++ b/command/command.go
@@ -25,9 +25,9 @@
 	ExitUnreachable subcommands.ExitStatus = 3
 	// ExitUnknown: whether the file was accepted is not known; apply it again.
 	ExitUnknown subcommands.ExitStatus = 4
-	// ExitSpreading: the file is agreed, but not yet in force on a majority of
+	// ExitPropagating: the file is agreed, but not yet in force on a majority of
 	// the boxes.
-	ExitSpreading subcommands.ExitStatus = 5
+	ExitPropagating subcommands.ExitStatus = 5
 )
 
 // printer writes results.
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -94,7 +94,7 @@
 		fmt.Fprintf(w, ": file number %d, digest %.12s, by %q, since %s", r.Winner.Number, r.Winner.Digest, r.Winner.Operator, r.Winner.Since.Format("2006-01-02 15:04:05Z07:00"))
 	}
 	if r.Boxes > 0 {
-		fmt.Fprintf(w, "; in force on %d of %d boxes", r.InForce, r.Boxes)
+		fmt.Fprintf(w, "; in force on %d of %d boxes", r.AppliedBy, r.Boxes)
 	}
 	fmt.Fprintln(w)
 	if r.Reason != "" {
@@ -151,7 +151,7 @@
 	case status == http.StatusOK:
 		return ExitOK
 	case status == http.StatusAccepted:
-		return ExitSpreading
+		return ExitPropagating
 	case outcome == "unknown":
 		return ExitUnknown
 	}
--- a/command/read.go
+++ b/command/read.go
@@ -81,8 +81,8 @@
 	}
 	fmt.Fprintf(w, "leader %s in term %d, index %d, %d open orders, %d moves\n\n", r.Leader, r.Term, r.Index, r.Orders, r.Moves)
 	fmt.Fprintln(w, r.Level)
-	if r.Waits != "" {
-		fmt.Fprintf(w, "the next one waits for %s\n", r.Waits)
+	if r.LevelBlocker != "" {
+		fmt.Fprintf(w, "the next one waits for %s\n", r.LevelBlocker)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "BOX\tHALL\tDISK\tVOTER\tBUILD\tLEVEL\tSTATE\tINDEX\tHEARD")
@@ -91,7 +91,7 @@
 	}
 	fmt.Fprintln(t, "\nMODEL\tVERSION\tREADY ON\tCOMING ON\t\t\t")
 	for _, m := range r.Models {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t\t\t\n", m.Name, m.Version, strings.Join(m.Ready, " "), strings.Join(m.Coming, " "))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t\t\t\n", m.Name, m.Version, strings.Join(m.Ready, " "), strings.Join(m.Loading, " "))
 	}
 	t.Flush()
 	for _, e := range r.Evacuations {
@@ -103,18 +103,18 @@
 	for _, l := range r.Limits {
 		fmt.Fprintf(w, "%s  %.3g, since %s\n", l.Server, l.PerSecond, l.Since.Format("15:04:05Z07:00"))
 	}
-	if len(r.Said) > 0 {
-		fmt.Fprintf(w, "\nservers that said in their answers to box %s that they rest or drain:\n", r.Asked)
+	if len(r.ServerStatuses) > 0 {
+		fmt.Fprintf(w, "\nservers that said in their answers to box %s that they rest or drain:\n", r.AnsweredBy)
 	}
-	for _, row := range r.Said {
+	for _, row := range r.ServerStatuses {
 		fmt.Fprintf(w, "%s  %s\n", row.Server, strings.Join(row.Lines(), "; "))
 	}
-	if len(r.Held) == 0 {
+	if len(r.Blocked) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\nrequests kept from servers, which ended while they ran them:")
-	for _, h := range r.Held {
-		fmt.Fprintf(w, "%s  version %q, %d times, since %s; ended last: %s\n", h.Print, h.Version, h.Holds, h.Since.Format("15:04:05Z07:00"), strings.Join(h.Servers, " "))
+	for _, h := range r.Blocked {
+		fmt.Fprintf(w, "%s  version %q, %d times, since %s; ended last: %s\n", h.Fingerprint, h.Version, h.BlockCount, h.Since.Format("15:04:05Z07:00"), strings.Join(h.Servers, " "))
 	}
 }
 
@@ -147,8 +147,8 @@
 
 func (r explainResult) text(w io.Writer) {
 	for _, e := range r {
-		fmt.Fprintf(w, "%s at box %s\n", e.About, e.Box)
-		for _, line := range e.Now {
+		fmt.Fprintf(w, "%s at box %s\n", e.Subject, e.Box)
+		for _, line := range e.CurrentState {
 			fmt.Fprintf(w, "  now: %s\n", line)
 		}
 		for _, d := range e.Decisions {
--- a/command/story.go
+++ b/command/story.go
@@ -15,7 +15,7 @@
 	"leverdrum/story"
 )
 
-type storyResult struct{ *story.Story }
+type storyResult struct{ *story.Timeline }
 
 func (r storyResult) text(w io.Writer) { r.Print(w) }
 
@@ -42,7 +42,7 @@
 		fmt.Fprintln(c.p.err, err)
 		return ExitUsage
 	}
-	s, err := log.Of(f.Arg(0))
+	s, err := log.Timeline(f.Arg(0))
 	if err != nil {
 		fmt.Fprintln(c.p.err, err)
 		return ExitRefused
@@ -51,7 +51,7 @@
 	return ExitOK
 }
 
-type dayResult struct{ *story.Day }
+type dayResult struct{ *story.Summary }
 
 func (r dayResult) text(w io.Writer) { r.Print(w) }
 
@@ -77,7 +77,7 @@
 		fmt.Fprintln(c.p.err, "explain-day:", cmp.Or(err, errWindow))
 		return ExitUsage
 	}
-	c.p.print(dayResult{log.Day(c.window)})
+	c.p.print(dayResult{log.Summarize(c.window)})
 	return ExitOK
 }
 
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -462,7 +462,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
 		status, answer := c.boxes[0].apply(ctx, c.file(number, "first"), "test")
-		return status == http.StatusOK && answer.InForce > answer.Boxes/2
+		return status == http.StatusOK && answer.AppliedBy > answer.Boxes/2
 	})
 }
 
--- a/story/day.go
+++ b/story/day.go
@@ -97,11 +97,11 @@
 	Causes   []Count   `json:"causes"`
 }
 
-// Share is the share of requests in time.
-func (w *Window) Share() float64 { return float64(w.InTime) / float64(max(1, w.Requests)) }
+// InTimeShare is the share of requests in time.
+func (w *Window) InTimeShare() float64 { return float64(w.InTime) / float64(max(1, w.Requests)) }
 
-// Day is the account of what the logs tell.
-type Day struct {
+// Summary is the account of what the logs tell.
+type Summary struct {
 	Requests int     `json:"requests"`
 	InTime   int     `json:"in_time"`
 	Causes   []Count `json:"causes"`
@@ -113,9 +113,9 @@
 	Windows []Window `json:"windows"`
 }
 
-// Day returns the account, in windows of a length.
-func (l *Log) Day(length time.Duration) *Day {
-	d := &Day{}
+// Summarize returns the account, in windows of a length.
+func (l *Log) Summarize(length time.Duration) *Summary {
+	d := &Summary{}
 	causes, routes, models, servers := map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	windows := map[time.Time]*tally{}
 	for i := range l.Lines {
@@ -150,7 +150,7 @@
 		d.Windows = append(d.Windows, Window{from, w.requests, w.inTime, counts(w.causes)})
 	}
 	slices.SortFunc(d.Windows, func(a, b Window) int { // (4)
-		return cmp.Or(cmp.Compare(a.Share(), b.Share()), a.From.Compare(b.From))
+		return cmp.Or(cmp.Compare(a.InTimeShare(), b.InTimeShare()), a.From.Compare(b.From))
 	})
 	return d
 }
@@ -179,7 +179,7 @@
 )
 
 // Print writes the account for people.
-func (d *Day) Print(w io.Writer) {
+func (d *Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d requests, %d in time (%.3f)\n", d.Requests, d.InTime, float64(d.InTime)/math.Max(1, float64(d.Requests)))
 	printCounts(w, "causes of the others", d.Causes, len(d.Causes))
 	printCounts(w, "by route", d.Routes, printedRows)
--- a/story/day_test.go
+++ b/story/day_test.go
@@ -26,7 +26,7 @@
 	g := NewWithT(t)
 	log := &Log{}
 	g.Expect(log.Read(strings.NewReader(dayLog))).To(Succeed())
-	d := log.Day(2 * time.Second)
+	d := log.Summarize(2 * time.Second)
 	g.Expect([]int{d.Requests, d.InTime}).To(Equal([]int{9, 1}))
 	sum := 0
 	byName := map[string]int{}
--- a/story/story.go
+++ b/story/story.go
@@ -56,8 +56,8 @@
 // Log holds the lines of all boxes.
 type Log struct {
 	Lines []Line
-	// Strangers counts lines that are none of ours (1).
-	Strangers int
+	// Skipped counts lines that are none of ours (1).
+	Skipped int
 }
 
 // Read adds the lines of a file.
@@ -67,7 +67,7 @@
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes())
 		if !ok {
-			l.Strangers++
+			l.Skipped++
 			continue
 		}
 		l.Lines = append(l.Lines, line)
@@ -95,24 +95,24 @@
 	return line, err == nil && line.Event != ""
 }
 
-// Story is what is known of a request.
-type Story struct {
+// Timeline is what is known of a request.
+type Timeline struct {
 	Request string `json:"request"`
 	Outcome string `json:"outcome"`
 	Cause   string `json:"cause"`
 	Lines   []Line `json:"lines"`
 }
 
-// Of returns a request's story. The error says which boxes' logs were looked at.
-func (l *Log) Of(request string) (*Story, error) {
-	s := &Story{Request: request}
+// Timeline returns a request's story. The error says which boxes' logs were looked at.
+func (l *Log) Timeline(request string) (*Timeline, error) {
+	s := &Timeline{Request: request}
 	for _, line := range l.Lines {
 		if line.field("request") == request { // (2)
 			s.Lines = append(s.Lines, line)
 		}
 	}
 	if len(s.Lines) == 0 {
-		return nil, Error.New("no line names request %s; there are lines of %s, and %d that are none of ours. Answered requests have lines at the level debug only", request, l.boxes(), l.Strangers)
+		return nil, Error.New("no line names request %s; there are lines of %s, and %d that are none of ours. Answered requests have lines at the level debug only", request, l.boxes(), l.Skipped)
 	}
 	slices.SortStableFunc(s.Lines, byTime)
 	last := s.Lines[len(s.Lines)-1]
@@ -209,7 +209,7 @@
 }
 
 // Print writes the story for people.
-func (s *Story) Print(w io.Writer) {
+func (s *Timeline) Print(w io.Writer) {
 	fmt.Fprintf(w, "request %s: %s\n%s\n\n", s.Request, s.Outcome, s.Cause)
 	for _, line := range s.Lines {
 		mark := " "
--- a/story/story_test.go
+++ b/story/story_test.go
@@ -33,8 +33,8 @@
 func TestAStoryHoldsWhatDecidedTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	l := read(t)
-	g.Expect(l.Strangers).To(Equal(1))
-	s, err := l.Of("r1")
+	g.Expect(l.Skipped).To(Equal(1))
+	s, err := l.Timeline("r1")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Outcome).To(Equal("not-resident"))
 	var events []string
@@ -50,20 +50,20 @@
 
 func TestACallerThatLeft(t *testing.T) {
 	g := NewWithT(t)
-	s, err := read(t).Of("r2")
+	s, err := read(t).Timeline("r2")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Cause).To(ContainSubstring("caller left"))
 }
 
 func TestARequestThatWasSentAgainAndAnswered(t *testing.T) {
 	g := NewWithT(t)
-	s, err := read(t).Of("r4")
+	s, err := read(t).Timeline("r4")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Cause).To(ContainSubstring("sent again"))
 }
 
 func TestAnUnknownRequestNamesTheBoxesThatHadLogs(t *testing.T) {
-	_, err := read(t).Of("r3")
+	_, err := read(t).Timeline("r3")
 	NewWithT(t).Expect(err).To(MatchError(And(ContainSubstring("b1 (10:00:03 to 10:00:03)"), ContainSubstring("1 that are none of ours"))))
 }
 
@@ -94,7 +94,7 @@
 {"ts":"2026-12-02T10:00:03Z","msg":"m","box":"b3","print":"bb","servers":["s1","s2"],"event":"crasher-held"}
 {"ts":"2026-12-02T10:09:00Z","msg":"m","box":"b4","request":"r1","outcome":"crashes-servers","print":"aa","sends":0,"event":"request-failed"}
 `))).To(Succeed())
-	s, err := l.Of("r1")
+	s, err := l.Timeline("r1")
 	g.Expect(err).NotTo(HaveOccurred())
 	var told []string
 	for _, line := range s.Lines {
