--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -20,7 +20,7 @@
 // newController returns a controller for one server with concurrency 2 that
 // serves a model of a common class and one of an urgent class.
 func newController(t *testing.T) (*admit.Controller, *route.Table) {
-	st, err := standin.Agreed(`
+	st, err := standin.CommittedState(`
 [fleet]
 number = 1
 [hall a]
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for _, m := range []string{"common", "urgent"} {
-		standin.Ready(st, "s", 0, &wire.Item{Model: m, Version: "1"}, 1)
+		standin.AddReadyResident(st, "s", 0, &wire.Item{Model: m, Version: "1"}, 1)
 	}
 	d := route.NewDirectory("a")
 	d.Update(st)
--- a/bench/affinity_test.go
+++ b/bench/affinity_test.go
@@ -34,17 +34,17 @@
 	text := fmt.Sprintf("[fleet]\nnumber = 1\naffinity-slack = %g\n[hall a]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\nconcurrency = %d\n", slack, loadPlaces)
 	for i := range loadServers {
 		e := standin.NewEngine(standin.EngineOptions{
-			Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: loadPlaces, TokenTime: loadToken, PrefillByte: prefillByte, Prefixes: keptMessages,
+			Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: loadPlaces, TokenTime: loadToken, PrefillTimePerByte: prefillByte, CachedPrefixes: keptMessages,
 		})
-		e.Hold(0, "m", "", "1", 1)
+		e.Load(0, "m", "", "1", 1)
 		text += fmt.Sprintf("[server s%d]\naddress = %s\nhall = a\nkind = k\n", i, serve(t, e))
 	}
-	st, err := standin.Agreed(text + "[model m]\nversion = 1\nmemory = 1B\nclass = c\n")
+	st, err := standin.CommittedState(text + "[model m]\nversion = 1\nmemory = 1B\nclass = c\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range loadServers {
-		standin.Ready(st, fmt.Sprint("s", i), 0, &wire.Item{Model: "m", Version: "1"}, 1)
+		standin.AddReadyResident(st, fmt.Sprint("s", i), 0, &wire.Item{Model: "m", Version: "1"}, 1)
 	}
 	var boxes []string
 	for range affinityBoxes {
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -71,7 +71,7 @@
 	e := standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 40, ChecksFences: true, Concurrency: 1024})
 	address := serve(t, e)
 	st := oneModel(t, address)
-	e.Hold(0, "m", "", "1", 1)
+	e.Load(0, "m", "", "1", 1)
 	return &bed{direct: address, through: serveEntry(t, st)}
 }
 
@@ -86,11 +86,11 @@
 }
 
 func oneModel(t testing.TB, address string) *state.State {
-	st, err := standin.Agreed(fmt.Sprintf("[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 30s\n[kind k]\nmemory = 1GiB\nconcurrency = 1024\n[server s]\naddress = %s\nhall = a\nkind = k\n[model m]\nversion = 1\nmemory = 1B\nclass = c\n", address))
+	st, err := standin.CommittedState(fmt.Sprintf("[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 30s\n[kind k]\nmemory = 1GiB\nconcurrency = 1024\n[server s]\naddress = %s\nhall = a\nkind = k\n[model m]\nversion = 1\nmemory = 1B\nclass = c\n", address))
 	if err != nil {
 		t.Fatal(err)
 	}
-	standin.Ready(st, "s", 0, &wire.Item{Model: "m", Version: "1"}, 1)
+	standin.AddReadyResident(st, "s", 0, &wire.Item{Model: "m", Version: "1"}, 1)
 	return st
 }
 
--- a/bench/day_test.go
+++ b/bench/day_test.go
@@ -145,7 +145,7 @@
 // replay runs a policy through the day. The policy sees the demand of the step
 // before. The frozen policy only brings back what was lost.
 func replay(t testing.TB, text string, d *day, weight float64, frozen bool) outcome {
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 			in.LeaderFor = 0 // moves nothing for demand's sake
 		}
 		for _, dec := range placement.Decide(in).Decisions {
-			if r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}}); r.Err == nil {
+			if r := standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}}); r.Err == nil {
 				due[r.Order.Id] = step + loadSteps
 			}
 		}
@@ -188,7 +188,7 @@
 			return
 		}
 		for _, dec := range plan.Decisions {
-			r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}})
+			r := standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}})
 			if r.Err != nil {
 				t.Fatal(r.Err)
 			}
@@ -199,7 +199,7 @@
 }
 
 func closeOrder(st *state.State, id uint64) {
-	standin.Agree(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
+	standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 }
 
 func closeDue(st *state.State, due map[uint64]int, step int) {
@@ -222,7 +222,7 @@
 		if wasDown[name] {
 			delete(wasDown, name)
 			for _, settled := range []bool{false, true} {
-				standin.Agree(st, &wire.Command{Kind: &wire.Command_Server{Server: &wire.ServerSeen{Server: name, Incarnation: fmt.Sprint("i", step), Settled: settled}}})
+				standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Server{Server: &wire.ServerSeen{Server: name, Incarnation: fmt.Sprint("i", step), Settled: settled}}})
 			}
 		}
 	}
@@ -322,7 +322,7 @@
 		b.Run(user, func(b *testing.B) {
 			text := fleetFile(b, user)
 			for b.Loop() {
-				st, err := standin.Agreed(text)
+				st, err := standin.CommittedState(text)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -362,7 +362,7 @@
 	curves := map[string][]point{}
 	for _, user := range []string{"buecherbruecke", "tabua"} {
 		text := fleetFile(t, user)
-		st, err := standin.Agreed(text)
+		st, err := standin.CommittedState(text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/bench/decide_test.go
+++ b/bench/decide_test.go
@@ -36,7 +36,7 @@
 }
 
 func empty(t testing.TB, servers, accelerators, models int) *state.State {
-	st, err := standin.Agreed(fleetText(servers, accelerators, models))
+	st, err := standin.CommittedState(fleetText(servers, accelerators, models))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -42,19 +42,19 @@
 		fmt.Sprintf("[kind k]\nmemory = 1GiB\nconcurrency = %d\n", loadPlaces)
 	for i := range loadServers {
 		b.engines[i] = standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: loadPlaces, TokenTime: loadToken})
-		b.engines[i].Hold(0, "urgent", "", "1", 1)
-		b.engines[i].Hold(0, "bulk", "", "1", 1)
+		b.engines[i].Load(0, "urgent", "", "1", 1)
+		b.engines[i].Load(0, "bulk", "", "1", 1)
 		b.addresses[i], b.stop[i] = serveUntil(t, b.engines[i])
 		text += fmt.Sprintf("[server s%d]\naddress = %s\nhall = a\nkind = k\n", i, b.addresses[i])
 	}
 	text += "[model urgent]\nversion = 1\nmemory = 1B\nclass = urgent\n[model bulk]\nversion = 1\nmemory = 1B\nclass = bulk\n"
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range loadServers {
 		for _, m := range []string{"urgent", "bulk"} {
-			standin.Ready(st, fmt.Sprint("s", i), 0, &wire.Item{Model: m, Version: "1"}, 1)
+			standin.AddReadyResident(st, fmt.Sprint("s", i), 0, &wire.Item{Model: m, Version: "1"}, 1)
 		}
 	}
 	b.box = serveEntry(t, st)
@@ -141,9 +141,9 @@
 					bed := newLoadBed(b)
 					address := bed.addressOf(b, policy)
 					offer(address, 0.3*loadCapacity, 1, func() {}) // warm
-					bed.engines[0].Set(standin.Faults{DelayMs: 60})
+					bed.engines[0].SetFaults(standin.Faults{DelayMs: 60})
 					got := offer(address, use*loadCapacity, 2, bed.stop[1])
-					bed.engines[0].Set(standin.Faults{})
+					bed.engines[0].SetFaults(standin.Faults{})
 					after := offer(address, 0.5*loadCapacity, 3, func() {})
 					b.ReportMetric(got.urgent, "urgent")
 					b.ReportMetric(got.bulk, "bulk")
@@ -173,10 +173,10 @@
 }{
 	{"slow", standin.Faults{DelayMs: 300}},
 	{"mute", standin.Faults{DelayMs: 60_000}},
-	{"half-mute", standin.Faults{DelayMs: 60_000, Every: 2}},
-	{"half-broken", standin.Faults{BreakBefore: true, Every: 2}},
+	{"half-mute", standin.Faults{DelayMs: 60_000, EveryNth: 2}},
+	{"half-broken", standin.Faults{DisconnectBeforeResponse: true, EveryNth: 2}},
 	{"errors", standin.Faults{Status: http.StatusInternalServerError}},
-	{"half-errors", standin.Faults{Status: http.StatusInternalServerError, Every: 2}},
+	{"half-errors", standin.Faults{Status: http.StatusInternalServerError, EveryNth: 2}},
 }
 
 // BenchmarkGrey compares the box with random choice at 0.6 of capacity while one
@@ -189,7 +189,7 @@
 					bed := newLoadBed(b)
 					address := bed.addressOf(b, policy)
 					offer(address, 0.3*loadCapacity, 1, func() {}) // warm
-					bed.engines[0].Set(g.faults)
+					bed.engines[0].SetFaults(g.faults)
 					got := offer(address, 0.6*loadCapacity, 2, func() {})
 					b.ReportMetric(got.urgent, "urgent")
 					b.ReportMetric(got.bulk, "bulk")
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -31,14 +31,14 @@
 
 // placed puts copies of each model on servers in turn.
 func placed(t testing.TB, servers, accelerators, models, copies int) *state.State {
-	st, err := standin.Agreed(fleetText(servers, accelerators, models))
+	st, err := standin.CommittedState(fleetText(servers, accelerators, models))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for m := range models {
 		for c := range copies {
 			n := m*copies + c
-			standin.Ready(st, fmt.Sprintf("s%d", n%servers), uint32(n/servers%accelerators), &wire.Item{Model: fmt.Sprintf("m%d", m), Version: "1"}, uint64(4+m%20)<<30)
+			standin.AddReadyResident(st, fmt.Sprintf("s%d", n%servers), uint32(n/servers%accelerators), &wire.Item{Model: fmt.Sprintf("m%d", m), Version: "1"}, uint64(4+m%20)<<30)
 		}
 	}
 	return st
--- a/box/crasher_test.go
+++ b/box/crasher_test.go
@@ -89,30 +89,30 @@
 	s.started++
 	v := &standin.Server{
 		ID:      fmt.Sprint("i-", s.started),
-		Service: "s", Hall: "h", Room: 220, AdapterSlots: 3, LoadTime: 100 * time.Millisecond, Beat: 100 * time.Millisecond,
-		Control: []string{s.control}, Events: 3, Pause: 30 * time.Millisecond, Weights: map[string]int{"m1": 70, "m2": 70}, Address: at, Deadly: s.deadlyModel,
+		Service: "s", Hall: "h", Memory: 220, AdapterSlots: 3, LoadTime: 100 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
+		ControlAddresses: []string{s.control}, EventCount: 3, EventDelay: 30 * time.Millisecond, ModelSizes: map[string]int{"m1": 70, "m2": 70}, ListenAddress: at, CrashOnLoad: s.deadlyModel,
 	}
-	v.Crashes = func(body []byte) bool {
+	v.CrashOn = func(body []byte) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.deadly[string(body)]
 	}
-	v.Limit = func() string {
+	v.ReportedLimit = func() string {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.limits[v.ID]
 	}
-	v.TurnAway = func(string) string {
+	v.RetryAfter = func(string) string {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.rests[v.ID]
 	}
-	v.Leaves = func() bool {
+	v.ReportsDraining = func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.leaves[v.ID]
 	}
-	v.Crashed = func() {
+	v.OnCrash = func() {
 		s.mu.Lock()
 		s.ended++
 		s.mu.Unlock()
@@ -120,13 +120,13 @@
 		if s.reborn {
 			holds = nil // it has lost what it held
 		}
-		time.AfterFunc(restartAfter, func() { s.server(v.ID, v.At(), holds...) })
+		time.AfterFunc(restartAfter, func() { s.server(v.ID, v.Addr(), holds...) })
 	}
 	if s.reborn {
-		v.Born = uint64(time.Now().UnixMilli())
-		v.Said = 1000 // minutes of its first life
+		v.StartedAt = uint64(time.Now().UnixMilli())
+		v.InitialSequence = 1000 // minutes of its first life
 		if id != "" {
-			v.ID, v.Said = id, 0
+			v.ID, v.InitialSequence = id, 0
 		}
 	}
 	if err := v.Start(models...); err != nil {
@@ -307,7 +307,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.servers {
-		g.Expect(v.Faults()).To(BeEmpty(), v.ID)
+		g.Expect(v.Violations()).To(BeEmpty(), v.ID)
 	}
 	lives := map[string]bool{}
 	for _, v := range s.servers {
--- a/box/draining_test.go
+++ b/box/draining_test.go
@@ -24,8 +24,8 @@
 func toldLeaving(arrived []standin.Arrival) map[string]time.Time {
 	told := map[string]time.Time{}
 	for _, a := range arrived {
-		if _, known := told[a.Via]; a.Left && !known {
-			told[a.Via] = a.At
+		if _, known := told[a.Via]; a.Draining && !known {
+			told[a.Via] = a.ReceivedAt
 		}
 	}
 	return told
@@ -34,7 +34,7 @@
 // lateAfter counts the requests that came more than a time after their box was told.
 func lateAfter(arrived []standin.Arrival, told map[string]time.Time, after time.Duration) (late int) {
 	for _, a := range arrived {
-		if since, known := told[a.Via]; known && a.At.Sub(since) > after {
+		if since, known := told[a.Via]; known && a.ReceivedAt.Sub(since) > after {
 			late++
 		}
 	}
@@ -47,7 +47,7 @@
 	g := NewWithT(s.t)
 	stop := s.load(30)
 	time.Sleep(3 * drainTime)
-	arrived := s.limited(server).Arrived()
+	arrived := s.limited(server).Arrivals()
 	answers := stop()
 	served := 0
 	for _, a := range answers {
@@ -71,7 +71,7 @@
 	s.server("", "") // holds nothing
 	s.leave("i-1")
 	s.checkDrained("i-1")
-	g.Expect(s.limited("i-2").Holds("m1")).To(BeTrue(), "the last copy gets a place elsewhere")
+	g.Expect(s.limited("i-2").HasModel("m1")).To(BeTrue(), "the last copy gets a place elsewhere")
 }
 
 // The same where no leader is left that could spread it, while all that is agreed says that the server stays: each box keeps to
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -76,12 +76,12 @@
 // mostIn is the most requests that arrived within a window, of those since a time.
 func mostIn(arrived []standin.Arrival, since time.Time) (most int) {
 	for i, first := range arrived {
-		if first.At.Before(since) {
+		if first.ReceivedAt.Before(since) {
 			continue
 		}
 		n := 0
 		for _, other := range arrived[i:] {
-			if other.At.Sub(first.At) < limitWindow {
+			if other.ReceivedAt.Sub(first.ReceivedAt) < limitWindow {
 				n++
 			}
 		}
@@ -116,7 +116,7 @@
 			g.Eventually(func() []admin.LimitRow { return s.status().Limits }, contact).Should(ConsistOf(And(HaveField("Server", "i-1"), HaveField("PerSecond", rate))), "agreed by all, and shown; level %d is in force", s.status().Level)
 		}
 		time.Sleep(contact + 2*limitWindow)
-		arrived := s.limited("i-1").Arrived()
+		arrived := s.limited("i-1").Arrivals()
 		served := 0
 		answers := stop()
 		for _, a := range answers {
@@ -135,7 +135,7 @@
 	stop := s.load(16)
 	began := time.Now()
 	time.Sleep(4 * limitWindow)
-	arrived := s.limited("i-1").Arrived()
+	arrived := s.limited("i-1").Arrivals()
 	stop()
 	g.Expect(mostIn(arrived, began.Add(2*limitWindow))).To(BeNumerically(">", 20), "half of 64 are its own once the limit has ended")
 }
@@ -150,7 +150,7 @@
 	named := time.Now()
 	stop := s.load(16)
 	time.Sleep(contact + 2*limitWindow)
-	arrived := s.limited("i-1").Arrived()
+	arrived := s.limited("i-1").Arrivals()
 	answers := stop()
 	served, refused := 0, 0
 	for _, a := range answers {
--- a/box/platform_test.go
+++ b/box/platform_test.go
@@ -153,11 +153,11 @@
 
 func (o *one) server(id string, models ...string) *standin.Server {
 	s := &standin.Server{
-		ID: id, Service: "s", Hall: "h", Room: 220, AdapterSlots: 3, LoadTime: 100 * time.Millisecond, Beat: 100 * time.Millisecond,
-		Control: []string{o.control}, Events: 3, Weights: map[string]int{}, TurnCallsAway: o.turnCallsAway,
+		ID: id, Service: "s", Hall: "h", Memory: 220, AdapterSlots: 3, LoadTime: 100 * time.Millisecond, HeartbeatInterval: 100 * time.Millisecond,
+		ControlAddresses: []string{o.control}, EventCount: 3, ModelSizes: map[string]int{}, ControlRetryAfter: o.turnCallsAway,
 	}
 	for i := range 9 {
-		s.Weights[fmt.Sprint("m", i)] = 70
+		s.ModelSizes[fmt.Sprint("m", i)] = 70
 	}
 	if err := s.Start(models...); err != nil {
 		o.t.Fatal(err)
@@ -221,7 +221,7 @@
 	defer resp.Body.Close()
 	read, _ := io.ReadAll(resp.Body)
 	g.Expect(string(read)).To(Equal(config(1, "m1", "m2")))
-	g.Expect(o.servers[0].Faults()).To(BeEmpty())
+	g.Expect(o.servers[0].Violations()).To(BeEmpty())
 	for id, n := range o.servers[0].Runs() {
 		g.Expect(n).To(Equal(1), id)
 	}
@@ -235,7 +235,7 @@
 	g.Eventually(func() int { s, _ := o.ask("first", "m1"); return s }, within).Should(Equal(http.StatusOK))
 	second := o.server("i-2")
 	first.Drain()
-	g.Eventually(func() bool { return second.Holds("m1") }, within).Should(BeTrue())
+	g.Eventually(func() bool { return second.HasModel("m1") }, within).Should(BeTrue())
 	g.Eventually(func() string { _, body := o.ask("after", "m1"); return body }, within).Should(Equal(fmt.Sprintf(whole, "i-2")))
 }
 
@@ -250,7 +250,7 @@
 	var mu sync.Mutex // of lateness
 	for i := range 3 {
 		s := o.server(fmt.Sprint("i-", i), models[2*i], models[2*i+1])
-		s.SetLate(func() time.Duration {
+		s.SetOrderDelay(func() time.Duration {
 			mu.Lock()
 			defer mu.Unlock()
 			if lateness.IntN(3) == 0 {
@@ -276,7 +276,7 @@
 	}
 	wg.Wait()
 	for _, s := range o.servers {
-		g.Expect(s.Faults()).To(BeEmpty(), s.ID)
+		g.Expect(s.Violations()).To(BeEmpty(), s.ID)
 	}
 	for _, m := range models {
 		g.Eventually(func() int { status, _ := o.ask("end-"+m, m); return status }, within).Should(Equal(http.StatusOK), m)
@@ -295,7 +295,7 @@
 	const late = 4 * time.Second // long after the next leader closed the order
 	sent := make(chan struct{})
 	var once sync.Once
-	s.SetLate(func() time.Duration {
+	s.SetOrderDelay(func() time.Duration {
 		once.Do(func() { close(sent) })
 		return late
 	})
@@ -313,13 +313,13 @@
 		t.Fatal("the adapter was not ordered")
 	}
 	o.box.Kill()
-	s.SetLate(nil)
+	s.SetOrderDelay(nil)
 	g.Eventually(asked, within).Should(BeClosed())
 	o.start()
 	g.Eventually(func() int { status, _ := o.ask("again", "m1"); return status }, within).Should(Equal(http.StatusOK))
-	g.Eventually(func() bool { return s.HoldsAdapter("m1", "a1") }, within).Should(BeTrue(), "carried out after its leader's end")
+	g.Eventually(func() bool { return s.HasAdapter("m1", "a1") }, within).Should(BeTrue(), "carried out after its leader's end")
 	for _, a := range []string{"a2", "a3", "a4"} {
 		g.Eventually(func() int { status, _ := o.ask("for-"+a, "m1/"+a); return status }, within).Should(Equal(http.StatusOK), a)
 	}
-	g.Expect(s.Faults()).To(BeEmpty())
+	g.Expect(s.Violations()).To(BeEmpty())
 }
--- a/box/rest_test.go
+++ b/box/rest_test.go
@@ -47,12 +47,12 @@
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		o.ask("again", "m1/a1")
 	}
-	got := mostInRest(first.AllArrived())
-	t.Logf("at most %d calls in a rest of 2 s; %d arrived", got, len(first.AllArrived()))
+	got := mostInRest(first.AllArrivals())
+	t.Logf("at most %d calls in a rest of 2 s; %d arrived", got, len(first.AllArrivals()))
 	g.Expect(got).To(BeNumerically("<=", restMost))
 	rests.Store(false)
 	g.Eventually(func() int { s, _ := o.ask("then", "m1/a1"); return s }, within).Should(Equal(http.StatusOK))
-	g.Expect(first.Faults()).To(BeEmpty())
+	g.Expect(first.Violations()).To(BeEmpty())
 }
 
 // A server that wants no requests for long is room that is missing: its model is loaded elsewhere.
@@ -63,11 +63,11 @@
 	s.server("", "") // holds nothing
 	s.rest("i-1", "30")
 	stop := s.load(20)
-	g.Eventually(func() bool { return s.limited("i-2").Holds("m1") }, within).Should(BeTrue())
+	g.Eventually(func() bool { return s.limited("i-2").HasModel("m1") }, within).Should(BeTrue())
 	time.Sleep(time.Second)
 	stop()
 	g.Expect(s.send(0, "then", "/a/then", "body").whole).To(BeTrue())
-	g.Expect(mostInRest(s.limited("i-1").Arrived())).To(BeNumerically("<=", restMost))
+	g.Expect(mostInRest(s.limited("i-1").Arrivals())).To(BeNumerically("<=", restMost))
 }
 
 // mostInRest returns the most requests that one box sent within a rest that it was asked for.
@@ -75,7 +75,7 @@
 	for i, asked := range arrived {
 		n := 0
 		for _, a := range arrived[i+1:] {
-			if since := a.At.Sub(asked.At); a.Via == asked.Via && since > restTold && since < asked.Rest {
+			if since := a.ReceivedAt.Sub(asked.ReceivedAt); a.Via == asked.Via && since > restTold && since < asked.RetryAfter {
 				n++
 			}
 		}
@@ -110,7 +110,7 @@
 			s.rest("i-1", "")
 			works := time.Now()
 			time.Sleep(time.Duration(rest*float64(time.Second)) + 3*time.Second)
-			arrived := s.limited("i-1").Arrived()
+			arrived := s.limited("i-1").Arrivals()
 			answers := stop()
 
 			got := mostInRest(arrived)
@@ -137,7 +137,7 @@
 			}
 			back := 0
 			for _, a := range arrived {
-				if a.At.After(works.Add(time.Duration(rest*float64(time.Second)) + 2*time.Second)) {
+				if a.ReceivedAt.After(works.Add(time.Duration(rest*float64(time.Second)) + 2*time.Second)) {
 					back++
 				}
 			}
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -145,7 +145,7 @@
 
 func (w *simulation) apply() {
 	w.number++
-	if r := standin.Apply(w.st, fleetFile(w.number), w.number); r.Apply != state.Accepted {
+	if r := standin.ApplyFleetFile(w.st, fleetFile(w.number), w.number); r.Apply != state.Accepted {
 		w.t.Fatalf("file %d: %s %v", w.number, r.Apply, r.Err)
 	}
 }
@@ -159,7 +159,7 @@
 	w.quarantine = map[string]time.Duration{}
 }
 
-func (w *simulation) commit(c *wire.Command) state.Result { return standin.Agree(w.st, c) }
+func (w *simulation) commit(c *wire.Command) state.Result { return standin.ApplyCommand(w.st, c) }
 
 func (w *simulation) down() map[string]bool {
 	down := map[string]bool{}
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -35,7 +35,7 @@
 	c.up()
 	for round := 1; round <= rounds; round++ {
 		for i, e := range c.engines {
-			e.Set(standin.Faults{LoseOrderAnswers: strings.HasSuffix(i, fmt.Sprint(round%4)), OrderDelayMs: 50 * round})
+			e.SetFaults(standin.Faults{DropOrderResponses: strings.HasSuffix(i, fmt.Sprint(round%4)), OrderDelayMs: 50 * round})
 		}
 		c.fleet = servers + modelsOf(round)
 		leader := c.leader()
@@ -47,7 +47,7 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	for _, e := range c.engines {
-		e.Set(standin.Faults{})
+		e.SetFaults(standin.Faults{})
 	}
 	eventually(t, "all models are ready in their new versions", 60*time.Second, func() bool {
 		s := c.read()
@@ -62,7 +62,7 @@
 		return true
 	})
 	for name, e := range c.engines {
-		a := e.Account()
+		a := e.Stats()
 		g.Expect(a.Overcommits).To(BeZero(), "by the account of %s, which held up to %d bytes", name, a.Peak)
 	}
 }
--- a/e2e/placement_test.go
+++ b/e2e/placement_test.go
@@ -143,7 +143,7 @@
 	eventually(t, "all models are ready on the three servers that are left", 40*time.Second, allReady)
 	c.answeredBy([]int{0, 2, 4, 6}, models)
 	for name, e := range c.engines {
-		g.Expect(e.Account().Overcommits).To(BeZero(), name)
+		g.Expect(e.Stats().Overcommits).To(BeZero(), name)
 	}
 }
 
--- a/e2e/requests_test.go
+++ b/e2e/requests_test.go
@@ -32,7 +32,7 @@
 	text += "[kind fenced]\nmemory = 10GiB\nchecks-fences = true\nresumes-streams = true\n[kind plain]\nmemory = 10GiB\norder-late = 2s\nresumes-streams = true\n"
 	for i, kind := range []string{"fenced", "plain"} {
 		e := standin.NewEngine(standin.EngineOptions{
-			Accelerators: 1, Memory: 10 << 30, ChecksFences: kind == "fenced", Concurrency: 16, TokenTime: time.Millisecond, LoadTime: 20 * time.Millisecond, Resumes: true,
+			Accelerators: 1, Memory: 10 << 30, ChecksFences: kind == "fenced", Concurrency: 16, TokenTime: time.Millisecond, LoadTime: 20 * time.Millisecond, ResumesStreams: true,
 		})
 		name := fmt.Sprint("engine", i)
 		c.engines[name] = e
@@ -106,7 +106,7 @@
 	if a.status != http.StatusOK {
 		return a.outcome
 	}
-	var got standin.ServiceAnswer
+	var got standin.ServiceResponse
 	if err := json.Unmarshal(a.body, &got); err != nil || got.Body != body || got.Run != 1 || got.Key != "" && got.Key != key {
 		l.t.Errorf("%s was answered %s, %v", key, a.body, err)
 	}
@@ -150,7 +150,7 @@
 	if a.err != nil || a.status != http.StatusOK {
 		return
 	}
-	want := strings.Join(standin.Words("m", "1", []byte(body), 12), " ")
+	want := strings.Join(standin.ExpectedWords("m", "1", []byte(body), 12), " ")
 	if got := textOf(a.body, stream); got != want {
 		l.t.Errorf("%s looks whole and is %q, not %q", id, got, want)
 	}
@@ -174,14 +174,14 @@
 // audit compares what callers were told with what the backends ran.
 func (l *ledgerOfCalls) audit(c *cluster) {
 	ran := map[string]int{}
-	for key, n := range c.services["shop"].Account().Ran {
+	for key, n := range c.services["shop"].Stats().Runs {
 		ran[key] += n
 		if n > 1 {
 			l.t.Errorf("%s ran %d times", key, n)
 		}
 	}
 	for _, e := range c.engines {
-		for id, n := range e.Account().Ran {
+		for id, n := range e.Stats().Runs {
 			ran[id] += n
 		}
 	}
@@ -225,12 +225,12 @@
 // spoil lets the backends misbehave in one way after another.
 func spoil(ctx context.Context, c *cluster, rng *rand.Rand) {
 	ways := []standin.Faults{
-		{}, {BreakBefore: true}, {}, {Refuse: true}, {}, {DelayMs: 300}, {}, {BreakAfter: 200}, {}, {NoLastEvent: true}, {}, {WrongID: true},
+		{}, {DisconnectBeforeResponse: true}, {}, {Refuse: true}, {}, {DelayMs: 300}, {}, {DisconnectAfter: 200}, {}, {OmitLastEvent: true}, {}, {WrongID: true},
 	}
 	for i := 0; ctx.Err() == nil; i++ {
 		way := ways[i%len(ways)]
-		c.services["shop"].Set(way)
-		c.engines[fmt.Sprint("engine", rng.IntN(2))].Set(way)
+		c.services["shop"].SetFaults(way)
+		c.engines[fmt.Sprint("engine", rng.IntN(2))].SetFaults(way)
 		for range 3 {
 			time.Sleep(100 * time.Millisecond)
 			if ctx.Err() != nil {
@@ -238,10 +238,10 @@
 			}
 		}
 		for _, e := range c.engines {
-			e.Set(standin.Faults{})
+			e.SetFaults(standin.Faults{})
 		}
 	}
-	c.services["shop"].Set(standin.Faults{})
+	c.services["shop"].SetFaults(standin.Faults{})
 }
 
 // TestRequestsUnderFailure sends orders with and without keys and questions
@@ -270,7 +270,7 @@
 	l.audit(c)
 	g.Expect(l.counts["done"]).To(BeNumerically(">", 500*rounds), "too little was answered for the run to prove anything")
 	for name, e := range c.engines {
-		g.Expect(e.Account().Overcommits).To(BeZero(), "by the account of %s", name)
+		g.Expect(e.Stats().Overcommits).To(BeZero(), "by the account of %s", name)
 	}
 }
 
@@ -417,7 +417,7 @@
 
 func total(e *standin.Engine) int {
 	sum := 0
-	for _, n := range e.Account().Ran {
+	for _, n := range e.Stats().Runs {
 		sum += n
 	}
 	return sum
@@ -426,7 +426,7 @@
 func (c *cluster) leave(way, server string) {
 	switch {
 	case strings.HasPrefix(way, "its own word"):
-		c.engines[server].Set(standin.Faults{Leaving: true})
+		c.engines[server].SetFaults(standin.Faults{Draining: true})
 	case way == "the platform's list":
 		c.platform.Replace([]platform.Machine{{Name: server, Draining: true}})
 	case way == "the fleet file":
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -37,7 +37,7 @@
 // issue writes certificate files, by an authority, for a name.
 func issue(t *testing.T, a *standin.Authority, folder, name string) certs.Files {
 	t.Helper()
-	f, err := a.Write(folder, name)
+	f, err := a.Issue(folder, name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/crashers_test.go
+++ b/entry/crashers_test.go
@@ -91,7 +91,7 @@
 		m.start(t)
 		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, m.address)
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	g.Expect(err).NotTo(HaveOccurred())
 	agreed := &agreedHere{began: time.Now()}
 	agreed.view.Store(st)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -65,8 +65,8 @@
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\nstall-after = 100ms\nfirst-token = 1s\ndeadline = " + deadline + "\n[class urgent]\ndeadline = " + deadline + "\npriority = 5\n"
 	for i := range b.engines {
 		text += fmt.Sprintf("[kind k%d]\nmemory = 1GiB\nconcurrency = 2\nresumes-streams = %v\n", i, resumes[i])
-		b.engines[i] = standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: 2, Resumes: resumes[i]})
-		b.engines[i].Hold(0, "m", "", "1", 1)
+		b.engines[i] = standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: 2, ResumesStreams: resumes[i]})
+		b.engines[i].Load(0, "m", "", "1", 1)
 		b.servers[i] = serve(b.engines[i])
 		text += fmt.Sprintf("[server s%d]\naddress = %s\nhall = a\nkind = k%d\n", i, b.servers[i].Listener.Addr(), i)
 	}
@@ -75,10 +75,10 @@
 	for i := range 2 {
 		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, serve(b.shop).Listener.Addr())
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	Expect(err).NotTo(HaveOccurred())
 	for i := range b.engines {
-		standin.Ready(st, fmt.Sprint("s", i), 0, &wire.Item{Model: "m", Version: "1"}, 1)
+		standin.AddReadyResident(st, fmt.Sprint("s", i), 0, &wire.Item{Model: "m", Version: "1"}, 1)
 	}
 	b.st = st
 	d := route.NewDirectory("a")
@@ -92,14 +92,14 @@
 
 func (b *bed) both(f standin.Faults) {
 	for _, e := range b.engines {
-		e.Set(f)
+		e.SetFaults(f)
 	}
 }
 
 func (b *bed) ran() int {
 	sum := 0
 	for _, e := range b.engines {
-		for _, n := range e.Account().Ran {
+		for _, n := range e.Stats().Runs {
 			sum += n
 		}
 	}
@@ -188,7 +188,7 @@
 
 	DescribeTable("tries another server when one fails before its answer is whole",
 		func(f standin.Faults, why *reason.Reason) {
-			b.engines[0].Set(f)
+			b.engines[0].SetFaults(f)
 			for range 30 { // a choice is drawn: the bad server is missed once in 2^30
 				r := b.chat(ask)
 				Expect(r.status).To(Equal(http.StatusOK))
@@ -196,20 +196,20 @@
 			}
 			Expect(testutil.ToFloat64(b.meters.Count(meter.Retries, why.Code))).To(BeNumerically(">", 0))
 		},
-		Entry("it breaks off before its answer", standin.Faults{BreakBefore: true}, reason.RetryDisconnected),
-		Entry("it breaks off within its answer", standin.Faults{BreakAfter: 10}, reason.RetryDisconnected),
+		Entry("it breaks off before its answer", standin.Faults{DisconnectBeforeResponse: true}, reason.RetryDisconnected),
+		Entry("it breaks off within its answer", standin.Faults{DisconnectAfter: 10}, reason.RetryDisconnected),
 		Entry("it refuses", standin.Faults{Refuse: true}, reason.RetryRefused),
 		Entry("it answers another attempt", standin.Faults{WrongID: true}, reason.RetryDisconnected),
 		Entry("it fails", standin.Faults{Status: 500}, reason.RetryFailed),
-		Entry("it takes far longer than usual", standin.Faults{DelayMs: 60_000, Every: 3}, reason.RetrySlow),
+		Entry("it takes far longer than usual", standin.Faults{DelayMs: 60_000, EveryNth: 3}, reason.RetrySlow),
 	)
 
 	It("goes back to a server that was only slow where the other one fails", func() {
 		for range 30 { // how long an answer takes is learned
 			Expect(b.chat(ask).status).To(Equal(http.StatusOK))
 		}
-		b.engines[0].Set(standin.Faults{Status: 500})
-		b.engines[1].Set(standin.Faults{DelayMs: 300, Every: 3})
+		b.engines[0].SetFaults(standin.Faults{Status: 500})
+		b.engines[1].SetFaults(standin.Faults{DelayMs: 300, EveryNth: 3})
 		for range 30 {
 			Expect(b.chat(ask).status).To(Equal(http.StatusOK))
 		}
@@ -227,8 +227,8 @@
 				Expect(r.retryAfter).To(Equal("1"))
 			}
 		},
-		Entry("by breaking off", standin.Faults{BreakBefore: true}, reason.BackendDisconnected),
-		Entry("by breaking off within the answer", standin.Faults{BreakAfter: 10}, reason.BackendDisconnected),
+		Entry("by breaking off", standin.Faults{DisconnectBeforeResponse: true}, reason.BackendDisconnected),
+		Entry("by breaking off within the answer", standin.Faults{DisconnectAfter: 10}, reason.BackendDisconnected),
 		Entry("by refusing", standin.Faults{Refuse: true}, reason.BackendRefused),
 		Entry("by answering others", standin.Faults{WrongID: true}, reason.BackendDisconnected),
 		Entry("by being late", standin.Faults{DelayMs: 3000}, reason.BackendTimeout),
@@ -255,37 +255,37 @@
 			Expect(r.body).To(ContainSubstring("event: error"))
 			Expect(r.body).To(ContainSubstring(reason.StreamInterrupted.Code))
 		},
-		Entry("that broke off", standin.Faults{BreakAfter: 300}),
-		Entry("that ended without its last event", standin.Faults{NoLastEvent: true}),
+		Entry("that broke off", standin.Faults{DisconnectAfter: 300}),
+		Entry("that ended without its last event", standin.Faults{OmitLastEvent: true}),
 	)
 
 	Context("whose model servers resume streams", func() {
 		BeforeEach(func() { b = newBed("2s", true, true) })
-		right := strings.Join(standin.Words("m", "1", []byte(stream), 20), " ")
+		right := strings.Join(standin.ExpectedWords("m", "1", []byte(stream), 20), " ")
 
 		It("goes on at another server with nothing twice and nothing missing", func() {
-			b.engines[0].Set(standin.Faults{BreakAfter: 450}) // in the midst of it
+			b.engines[0].SetFaults(standin.Faults{DisconnectAfter: 450}) // in the midst of it
 			for range 30 {
 				r := b.chat(stream)
 				Expect(r.err).NotTo(HaveOccurred())
 				Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 			}
-			Expect(b.engines[1].Account().Resumed).To(BeNumerically(">", 0))
+			Expect(b.engines[1].Stats().Resumed).To(BeNumerically(">", 0))
 			Expect(testutil.ToFloat64(b.meters.Count(meter.Retries, reason.RetryInterrupted.Code))).To(BeNumerically(">", 0))
 		})
 		It("goes on at the same server when there is no other", func() {
-			b.both(standin.Faults{BreakAfter: 1000}) // two breaks
+			b.both(standin.Faults{DisconnectAfter: 1000}) // two breaks
 			r := b.chat(stream)
 			Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 		})
 		It("goes on at another server when one falls silent, and leaves the silent one", func() {
-			b.engines[0].Set(standin.Faults{StallAfter: 450})
+			b.engines[0].SetFaults(standin.Faults{StallAfter: 450})
 			for range 10 { // the silent one is drawn at least once but for one in 2^10 runs
 				r := b.chat(stream)
 				Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 			}
-			Expect(b.engines[1].Account().Resumed).To(BeNumerically(">", 0))
-			Eventually(func() int { return b.engines[0].Account().Cancelled }).Should(BeNumerically(">", 0))
+			Expect(b.engines[1].Stats().Resumed).To(BeNumerically(">", 0))
+			Eventually(func() int { return b.engines[0].Stats().Cancelled }).Should(BeNumerically(">", 0))
 		})
 		DescribeTable("breaks visibly rather than",
 			func(spoil func()) {
@@ -303,18 +303,18 @@
 				}
 				Expect(b.refusals(reason.StreamInterrupted)).To(BeNumerically(">", 0))
 			},
-			Entry("go on for ever", func() { b.both(standin.Faults{BreakAfter: 100}) }),
+			Entry("go on for ever", func() { b.both(standin.Faults{DisconnectAfter: 100}) }),
 			Entry("go on with another version", func() {
-				b.engines[1].Drop(0, "m", "1")
-				b.engines[1].Hold(0, "m", "", "2", 1)
-				b.engines[0].Set(standin.Faults{BreakAfter: 450})
+				b.engines[1].Unload(0, "m", "1")
+				b.engines[1].Load(0, "m", "", "2", 1)
+				b.engines[0].SetFaults(standin.Faults{DisconnectAfter: 450})
 			}),
 		)
 	})
 
 	It("does not continue a stream at a server that would begin anew", func() {
 		b = newBed("2s", true, false)
-		b.engines[0].Set(standin.Faults{BreakAfter: 700})
+		b.engines[0].SetFaults(standin.Faults{DisconnectAfter: 700})
 		for range 20 {
 			r := b.chat(stream)
 			Expect(standin.ReadStream(strings.NewReader(r.body))).To(HaveSuffix("w19"))
@@ -324,17 +324,17 @@
 
 	DescribeTable("never says not run when an earlier attempt ran",
 		func(f standin.Faults) {
-			b.engines[0].Set(f)
-			b.engines[1].Set(standin.Faults{Refuse: true})
+			b.engines[0].SetFaults(f)
+			b.engines[1].SetFaults(standin.Faults{Refuse: true})
 			for i := range 20 { // the first server is drawn first at least once but for one in 2^20 runs
 				id := fmt.Sprint("call", i)
 				r := b.do(http.MethodPost, engine.ChatPath, ask, entry.HeaderRequestID, id)
-				ran := b.engines[0].Account().Ran[id]
+				ran := b.engines[0].Stats().Runs[id]
 				Expect(r.outcome == "not-run" && ran > 0).To(BeFalse(), "%s ran %d times and got %s", id, ran, r.reason)
 			}
 			Expect(b.ran()).To(BeNumerically(">", 0))
 		},
-		Entry("and broke", standin.Faults{BreakBefore: true}),
+		Entry("and broke", standin.Faults{DisconnectBeforeResponse: true}),
 		Entry("and failed", standin.Faults{Status: 500}),
 	)
 
@@ -349,11 +349,11 @@
 		Expect(testutil.ToFloat64(b.meters.Count(meter.Ejections))).To(BeZero(), "the fault may be the request's")
 	})
 	It("asks no other server when a call that may not be repeated failed", func() {
-		b.shop.Set(standin.Faults{Status: 500})
+		b.shop.SetFaults(standin.Faults{Status: 500})
 		r := b.do("POST", "/services/shop/orders", "one", entry.HeaderRequestID, "order1")
 		Expect(r.status).To(Equal(500))
 		Expect(r.outcome).To(Equal("failed"))
-		Expect(b.shop.Account().Ran).To(Equal(map[string]int{"order1": 1}))
+		Expect(b.shop.Stats().Runs).To(Equal(map[string]int{"order1": 1}))
 	})
 
 	It("counts a stream as in time only if its first event is", func() {
@@ -387,15 +387,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = http.DefaultClient.Do(req)
 		Expect(err).To(HaveOccurred())
-		Eventually(func() int { return b.engines[0].Account().Cancelled + b.engines[1].Account().Cancelled }, "2s").Should(Equal(1))
+		Eventually(func() int { return b.engines[0].Stats().Cancelled + b.engines[1].Stats().Cancelled }, "2s").Should(Equal(1))
 	})
 
 	It("sends a call that may not be repeated once, whatever happens", func() {
-		b.shop.Set(standin.Faults{BreakBefore: true})
+		b.shop.SetFaults(standin.Faults{DisconnectBeforeResponse: true})
 		r := b.do("POST", "/services/shop/orders", "two", entry.HeaderRequestID, "order1")
 		Expect(r.reason).To(Equal(reason.BackendDisconnected.Code))
 		Expect(r.outcome).To(Equal("unknown"))
-		Expect(b.shop.Account().Ran).To(Equal(map[string]int{"order1": 1}))
+		Expect(b.shop.Stats().Runs).To(Equal(map[string]int{"order1": 1}))
 	})
 
 	It("answers what it can under overload and refuses the rest as not run", func() {
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -57,7 +57,7 @@
 		l.instances = append(l.instances, s)
 		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, at.Listener.Addr())
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	l.agreed.view.Store(st)
 	lessor := rate.NewLessor("p", clock.New().Now)
@@ -138,29 +138,29 @@
 func TestAnInstanceGetsNoMoreThanItsLimit(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 4, 2)
-	l.instances[0].Set(standin.Faults{Limit: "1"})
+	l.instances[0].SetFaults(standin.Faults{Limit: "1"})
 	named := time.Now()
 	asked, refused := l.ask(t, 30, 7*time.Second)
-	most := mostIn4s(l.instances[0].Came(), named.Add(time.Second))
+	most := mostIn4s(l.instances[0].ArrivalTimes(), named.Add(time.Second))
 	t.Logf("%d calls, at most %d in 4 s at a limit of 1 a second", asked, most)
 	g.Expect(most).To(BeNumerically("<=", 11))
 	g.Expect(refused).To(BeEmpty(), "the other instance has room")
 
-	l.instances[0].Set(standin.Faults{})
+	l.instances[0].SetFaults(standin.Faults{})
 	l.ask(t, 30, 8*time.Second)
-	ended := len(l.instances[0].Came())
+	ended := len(l.instances[0].ArrivalTimes())
 	l.ask(t, 30, 2*time.Second)
-	g.Expect(len(l.instances[0].Came())-ended).To(BeNumerically(">", 15), "the limit has ended")
+	g.Expect(len(l.instances[0].ArrivalTimes())-ended).To(BeNumerically(">", 15), "the limit has ended")
 }
 
 // What no instance takes is refused at once and in true words, with a time to come back.
 func TestCallsBeyondALimitAreRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 3, 1)
-	l.instances[0].Set(standin.Faults{Limit: "2"})
+	l.instances[0].SetFaults(standin.Faults{Limit: "2"})
 	named := time.Now()
 	asked, refused := l.ask(t, 30, 6*time.Second)
-	g.Expect(mostIn4s(l.instances[0].Came(), named.Add(time.Second))).To(BeNumerically("<=", 17))
+	g.Expect(mostIn4s(l.instances[0].ArrivalTimes(), named.Add(time.Second))).To(BeNumerically("<=", 17))
 	g.Expect(asked-len(refused)).To(BeNumerically(">=", 8), "what it takes is used")
 	g.Expect(len(refused)).To(BeNumerically(">", asked/2))
 	for _, r := range refused {
--- a/entry/rest_test.go
+++ b/entry/rest_test.go
@@ -35,14 +35,14 @@
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 2)
 	const rest = 1500 * time.Millisecond
-	l.instances[0].Set(standin.Faults{Rest: "1.5"})
+	l.instances[0].SetFaults(standin.Faults{RetryAfter: "1.5"})
 	_, refused := l.ask(t, 40, 4*time.Second)
-	l.instances[0].Set(standin.Faults{})
+	l.instances[0].SetFaults(standin.Faults{})
 	until := time.Now()
 	g.Expect(refused).To(BeEmpty(), "the other instance has room")
-	turned := len(l.instances[0].Came())
+	turned := len(l.instances[0].ArrivalTimes())
 	l.ask(t, 40, rest+2*time.Second)
-	came := l.instances[0].Came()
+	came := l.instances[0].ArrivalTimes()
 	t.Logf("%d calls turned away, %d taken afterwards", turned, len(came)-turned)
 	g.Expect(mostInRests(came, until, rest)).To(BeNumerically("<=", 2))
 	g.Expect(len(came)-turned).To(BeNumerically(">", 20), "it takes its half again")
@@ -51,10 +51,10 @@
 func TestCallsOfAnInstanceThatRestsAreRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 1)
-	l.instances[0].Set(standin.Faults{Rest: "2"})
+	l.instances[0].SetFaults(standin.Faults{RetryAfter: "2"})
 	_, refused := l.ask(t, 30, 5*time.Second)
 	until := time.Now()
-	g.Expect(mostInRests(l.instances[0].Came(), until, 2*time.Second)).To(BeNumerically("<=", 2))
+	g.Expect(mostInRests(l.instances[0].ArrivalTimes(), until, 2*time.Second)).To(BeNumerically("<=", 2))
 	g.Expect(len(refused)).To(BeNumerically(">", 100))
 	resting := 0
 	for _, r := range refused {
@@ -73,11 +73,11 @@
 func TestAnInstanceThatSaysThatItDrainsGetsNoMore(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 2, 2)
-	l.instances[0].Set(standin.Faults{Drains: true})
+	l.instances[0].SetFaults(standin.Faults{DrainingHeader: true})
 	began := time.Now()
 	_, refused := l.ask(t, 40, 4*time.Second)
 	g.Expect(refused).To(BeEmpty())
-	for _, at := range l.instances[0].Came() {
+	for _, at := range l.instances[0].ArrivalTimes() {
 		g.Expect(at.Sub(began)).To(BeNumerically("<", 2*time.Second))
 	}
 }
@@ -86,12 +86,12 @@
 func TestRestsAreNotHeldAgainstAnInstance(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 2)
-	l.instances[0].Set(standin.Faults{Rest: "0.05"})
+	l.instances[0].SetFaults(standin.Faults{RetryAfter: "0.05"})
 	_, refused := l.ask(t, 40, 8*time.Second)
 	g.Expect(refused).To(BeEmpty())
-	turned := len(l.instances[0].Came())
+	turned := len(l.instances[0].ArrivalTimes())
 	g.Expect(turned).To(BeNumerically(">", 10))
-	l.instances[0].Set(standin.Faults{})
+	l.instances[0].SetFaults(standin.Faults{})
 	l.ask(t, 40, 1500*time.Millisecond)
-	g.Expect(len(l.instances[0].Came())-turned).To(BeNumerically(">", 15), "half of what comes is its own")
+	g.Expect(len(l.instances[0].ArrivalTimes())-turned).To(BeNumerically(">", 15), "half of what comes is its own")
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -79,7 +79,7 @@
 
 func (a *authority) write(folder, name string) certs.Files {
 	GinkgoHelper()
-	f, err := a.Write(folder, name)
+	f, err := a.Issue(folder, name)
 	Expect(err).NotTo(HaveOccurred())
 	return f
 }
--- a/placement/convergence_test.go
+++ b/placement/convergence_test.go
@@ -53,7 +53,7 @@
 	for i, m := range models {
 		text += fmt.Sprintf("[model m%d]\nversion = 1\nclass = c\nmemory = %dGiB\ncopies = %d\n", i, m.size, m.copies)
 	}
-	return standin.Agreed(text)
+	return standin.CommittedState(text)
 }
 
 func drawFleet(t *rapid.T) *fullFleet {
@@ -90,7 +90,7 @@
 		f.demand[name] = placement.Demand{Requests: float64(m.requests), BusySlots: float64(m.requests)}
 		if used[m.server]+m.size <= serverGiB {
 			used[m.server] += m.size
-			standin.Ready(f.st, f.servers[m.server], 0, &wire.Item{Model: name, Version: "1"}, uint64(m.size)<<30)
+			standin.AddReadyResident(f.st, f.servers[m.server], 0, &wire.Item{Model: name, Version: "1"}, uint64(m.size)<<30)
 		}
 	}
 	return f
--- a/placement/limits_test.go
+++ b/placement/limits_test.go
@@ -14,7 +14,7 @@
 
 // setLimit applies a limit of a server, in requests per second.
 func setLimit(st *state.State, server string, perSecond float64) {
-	standin.Agree(st, &wire.Command{Kind: &wire.Command_Limit{Limit: &wire.ServerLimit{Server: server, Milli: uint32(1000 * perSecond)}}})
+	standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Limit{Limit: &wire.ServerLimit{Server: server, Milli: uint32(1000 * perSecond)}}})
 }
 
 const limitedFleet = threeServers + `
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -27,13 +27,13 @@
 // how many the ledger refused.
 func execute(st *state.State, plan placement.Plan, check ...func()) (issued, refused int) {
 	for _, d := range plan.Decisions {
-		r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
+		r := standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
 		if r.Err != nil {
 			refused++
 			continue
 		}
 		issued++
-		standin.Agree(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: r.Order.Id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
+		standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: r.Order.Id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 		for _, f := range check {
 			f()
 		}
@@ -58,7 +58,7 @@
 
 func newState(text string) *state.State {
 	GinkgoHelper()
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	Expect(err).NotTo(HaveOccurred())
 	return st
 }
@@ -158,7 +158,7 @@
 		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1GiB\n")
 		converge(st, nil)
 		next := "# next\n" + threeServers + "[model m]\nversion = 2\nmemory = 4GiB\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1GiB\n"
-		Expect(standin.Apply(st, next, 2).Apply).To(Equal(state.Accepted))
+		Expect(standin.ApplyFleetFile(st, next, 2).Apply).To(Equal(state.Accepted))
 		for range 20 {
 			execute(st, placement.Decide(placement.Input{State: st}), func() {
 				Expect(len(readyOn(st, "m", "1")) + len(readyOn(st, "m", "2"))).To(BeNumerically(">", 0))
@@ -191,9 +191,9 @@
 
 	It("evicts a surplus copy to make room for a model without one", func() {
 		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
-		standin.Ready(st, "s2", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
-		standin.Ready(st, "s3", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s3", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		converge(st, nil)
 		Expect(readyOn(st, "n", "1")).To(HaveLen(1))
 		Expect(readyOn(st, "m", "1")).To(HaveLen(2))
@@ -207,7 +207,7 @@
 			}
 			st := newState(text)
 			for name, server := range ready {
-				standin.Ready(st, server, 0, &wire.Item{Model: name, Version: "1"}, st.Fleet.Models[name].Memory)
+				standin.AddReadyResident(st, server, 0, &wire.Item{Model: name, Version: "1"}, st.Fleet.Models[name].Memory)
 			}
 			for range 30 { // after each order every model but the new one keeps a copy
 				execute(st, placement.Decide(placement.Input{State: st}), func() {
@@ -235,19 +235,19 @@
 		}
 		st := newState(text + "[model new]\nversion = 1\nclass = c\nmemory = 7GiB\n")
 		for name, server := range map[string]string{"a": "s1", "b": "s2", "c": "s3", "d": "s4"} {
-			standin.Ready(st, server, 0, &wire.Item{Model: name, Version: "1"}, uint64(ready[name])<<30)
+			standin.AddReadyResident(st, server, 0, &wire.Item{Model: name, Version: "1"}, uint64(ready[name])<<30)
 		}
 		first := placement.Decide(placement.Input{State: st}).Decisions
 		Expect(first).To(HaveLen(1))
-		Expect(standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: first[0].Order}}}).Err).NotTo(HaveOccurred())
+		Expect(standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: first[0].Order}}}).Err).NotTo(HaveOccurred())
 		Expect(placement.Decide(placement.Input{State: st}).Decisions).To(BeEmpty())
 	})
 
 	It("reports a shortage when relocation does not help", func() {
 		st := newState(threeServers + "[model a]\nversion = 1\nmemory = 6GiB\nclass = c\n[model b]\nversion = 1\nmemory = 6GiB\nclass = c\n[model c]\nversion = 1\nmemory = 6GiB\nclass = c\n")
 		st.Fleet.Models["a"].Memory = 10 << 30 // as if a server had been lost
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "b", Version: "1"}, 6<<30)
-		standin.Ready(st, "s2", 0, &wire.Item{Model: "c", Version: "1"}, 6<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "b", Version: "1"}, 6<<30)
+		standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "c", Version: "1"}, 6<<30)
 		plan := placement.Decide(placement.Input{State: st, Down: map[string]bool{"s3": true}})
 		Expect(plan.Decisions).To(BeEmpty())
 		Expect(plan.Shortages).To(HaveLen(1))
@@ -274,7 +274,7 @@
 		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 4GiB\nclass = c\n")
 		noOrders := map[string]bool{"s1": true, "s2": true, "s3": true}
 		Expect(placement.Decide(placement.Input{State: st, NoOrders: noOrders}).Decisions).To(BeEmpty())
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 4<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 4<<30)
 		Expect(placement.Decide(placement.Input{State: st, NoOrders: map[string]bool{"s1": true}}).Decisions).To(BeEmpty())
 	})
 
@@ -283,7 +283,7 @@
 	It("makes no room for models that the leader defers (13)", func() {
 		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 		for _, server := range []string{"s1", "s2", "s3"} {
-			standin.Ready(st, server, 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
+			standin.AddReadyResident(st, server, 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		}
 		Expect(placement.Decide(placement.Input{State: st, Deferred: map[string]bool{"n": true}}).Decisions).To(BeEmpty())
 		Expect(placement.Decide(placement.Input{State: st}).Decisions).NotTo(BeEmpty())
@@ -291,7 +291,7 @@
 
 	It("evicts the last copy of an idle model where it stays cached, for a requested one (14)", func() {
 		st := newState(threeServers + "[model m]\nversion = 1\nmemory = 7GiB\nclass = c\n[model n]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "m", Version: "1"}, 7<<30)
 		in := placement.Input{
 			State: st, Demand: map[string]placement.Demand{"n": {Requests: 5, BusySlots: 1}}, Down: map[string]bool{"s2": true, "s3": true},
 			Idle: map[string]bool{"m": true}, LeaderFor: time.Hour,
@@ -311,14 +311,14 @@
 		BeforeEach(func() {
 			st = newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 			st.Fleet.DemandHorizon, st.Fleet.MoveWeight = 15*time.Second, 3
-			standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+			standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 			st.Servers.Get("s2").AtHand = []string{"rare", "hot"}
 			in = placement.Input{State: st, Down: map[string]bool{"s3": true}, LeaderFor: time.Hour}
 		})
 		hot := placement.Demand{Requests: 40, LongTermRequests: 40, PrefillLoad: 0.9}
 
 		It("evicts the last copy of a rare model for one that is requested all the time", func() {
-			standin.Ready(st, "s2", 0, &wire.Item{Model: "rare", Version: "1"}, 7<<30)
+			standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "rare", Version: "1"}, 7<<30)
 			in.Demand = map[string]placement.Demand{"hot": hot, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "hot")))
 			in.Demand["rare"] = placement.Demand{Requests: 4, LongTermRequests: 4}
@@ -333,7 +333,7 @@
 		})
 
 		It("loads a requested model again", func() {
-			standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+			standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 			in.Demand = map[string]placement.Demand{"hot": {Requests: 1, LongTermRequests: 1, PrefillLoad: 0.1}, "rare": {Requests: 1, LongTermRequests: 0.4}}
 			Expect(placement.Decide(in).Decisions).To(ConsistOf(HaveField("Order.RoomFor", "rare")))
 			// Its demand rose from nothing to most of all requests within seconds; judged by its
@@ -345,7 +345,7 @@
 		It("makes room for a model on one server at a time (11)", func() {
 			st = newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model a]\nversion = 1\nmemory = 7GiB\nclass = c\n[model b]\nversion = 1\nmemory = 7GiB\nclass = c\n")
 			for server, model := range map[string]string{"s2": "a", "s3": "b"} {
-				standin.Ready(st, server, 0, &wire.Item{Model: model, Version: "1"}, 7<<30)
+				standin.AddReadyResident(st, server, 0, &wire.Item{Model: model, Version: "1"}, 7<<30)
 				st.Servers.Get(server).AtHand = []string{"a", "b", "hot"}
 			}
 			in.State, in.Down = st, map[string]bool{"s1": true}
@@ -356,8 +356,8 @@
 
 	It("evicts no busy copy for a model that is cached and requested now and then (15)", func() {
 		st := newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
-		standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
 		in := placement.Input{
 			State: st, Down: map[string]bool{"s3": true}, LeaderFor: time.Hour,
 			Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.8}, "rare": {Requests: 1, LongTermRequests: 0.3}},
@@ -373,12 +373,12 @@
 
 	It("loads into free memory while room is being made for the model (11)", func() {
 		st := newState(threeServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model idle]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
-		standin.Ready(st, "s2", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		st.Orders.Set(9, &wire.Order{Id: 9, Action: wire.OrderAction_ORDER_UNLOAD, Server: "s2", Item: &wire.Item{Model: "idle", Version: "1"}, RoomFor: "hot"})
 		plan := placement.Decide(placement.Input{State: st, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}}, LeaderFor: time.Hour})
 		Expect(plan.Decisions).To(ConsistOf(HaveField("Order.Server", "s3")))
-		standin.Ready(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		again := placement.Decide(placement.Input{State: st, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}}, LeaderFor: time.Hour})
 		Expect(again.Decisions).To(BeEmpty(), "no more room is made")
 		Expect(plan.Decisions[0].Order.Item.Model).To(Equal("hot"))
@@ -386,10 +386,10 @@
 
 	It("waits for a server that takes no order yet rather than evict a copy that many need (16)", func() {
 		st := newState(threeServers + twoMoreServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model idle]\nversion = 1\nmemory = 7GiB\nclass = c\n[model new]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
-		standin.Ready(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
-		standin.Ready(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
-		standin.Ready(st, "s4", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s3", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s4", 0, &wire.Item{Model: "idle", Version: "1"}, 7<<30)
 		in := placement.Input{
 			State: st, NoOrders: map[string]bool{"s3": true, "s4": true, "s5": true}, Down: map[string]bool{"s5": true}, LeaderFor: time.Hour,
 			Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}, "new": {Requests: 0.2}},
@@ -413,13 +413,13 @@
 
 	It("evicts the copy whose eviction is fastest (5)", func() {
 		st := newState(threeServers + twoMoreServers + "[model hot]\nversion = 1\nmemory = 7GiB\nclass = c\n[model a]\nversion = 1\nmemory = 7GiB\nclass = c\n[model b]\nversion = 1\nmemory = 7GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
-		standin.Ready(st, "s2", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
-		standin.Ready(st, "s3", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
-		standin.Ready(st, "s4", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s2", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s3", 0, &wire.Item{Model: "a", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s4", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
 		in := placement.Input{State: st, LeaderFor: time.Hour, Demand: map[string]placement.Demand{"hot": {Requests: 40, PrefillLoad: 0.9}, "a": {Requests: 0.5, BusySlots: 2}}}
 		st.Fleet.DemandHorizon, st.Fleet.MoveWeight = 15*time.Second, 1
-		standin.Ready(st, "s5", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
+		standin.AddReadyResident(st, "s5", 0, &wire.Item{Model: "b", Version: "1"}, 7<<30)
 		Expect(placement.Decide(in).Decisions[0].Order.Item.Model).To(Equal("b"))
 	})
 
@@ -427,7 +427,7 @@
 	// were requested once in several seconds.
 	It("loads what serves the most requests first (1)", func() {
 		st := newState(threeServers + "[model hot]\nversion = 1\nmemory = 4GiB\nclass = c\n[model rare]\nversion = 1\nmemory = 4GiB\nclass = c\n")
-		standin.Ready(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 4<<30)
+		standin.AddReadyResident(st, "s1", 0, &wire.Item{Model: "hot", Version: "1"}, 4<<30)
 		demand := map[string]placement.Demand{"hot": {Requests: 100, BusySlots: 30}, "rare": {Requests: 0.3, BusySlots: 0.1}}
 		plan := placement.Decide(placement.Input{State: st, Demand: demand, LeaderFor: time.Hour})
 		Expect(plan.Decisions[0].Order.Item.Model).To(Equal("hot"))
--- a/placement/scarce_test.go
+++ b/placement/scarce_test.go
@@ -35,7 +35,7 @@
 	for i := range scarceModels {
 		text += fmt.Sprintf("[model m%02d]\nversion = 1\nclass = c\nmemory = 1GiB\n", i)
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 
 // place makes a model resident on a server, which has it cached from then on.
 func (f *scarceFleet) place(server, model string) {
-	standin.Ready(f.st, server, 0, &wire.Item{Model: model, Version: "1"}, 1<<30)
+	standin.AddReadyResident(f.st, server, 0, &wire.Item{Model: model, Version: "1"}, 1<<30)
 	s := f.st.Servers.Get(server)
 	f.st.Servers.Set(server, &wire.ServerState{Name: s.Name, Incarnation: s.Incarnation, AtHand: append(s.AtHand, model)})
 }
@@ -69,11 +69,11 @@
 func (f *scarceFleet) step() {
 	plan := placement.Decide(placement.Input{State: f.st, Demand: f.demand, LeaderFor: time.Hour})
 	for _, d := range plan.Decisions {
-		r := standin.Agree(f.st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
+		r := standin.ApplyCommand(f.st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: d.Order}}})
 		if r.Err != nil {
 			continue
 		}
-		standin.Agree(f.st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: r.Order.Id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
+		standin.ApplyCommand(f.st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: r.Order.Id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 		if d.Order.Action == wire.OrderAction_ORDER_LOAD {
 			f.loads = append(f.loads, d.Order.Item.Model)
 		}
@@ -132,7 +132,7 @@
 		server := fmt.Sprint("s", 4+i)
 		f.st.Residents.Delete(ledger.Location{Server: server, Model: modelOf(copiesPerServer * (4 + i)), Version: "1"})
 		o := &wire.Order{Action: wire.OrderAction_ORDER_LOAD, Server: server, ServerIncarnation: "i", Item: &wire.Item{Model: modelOf(50 + i), Version: "1"}, Memory: 1 << 30}
-		r := standin.Agree(f.st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: o}}})
+		r := standin.ApplyCommand(f.st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: o}}})
 		g.Expect(r.Err).NotTo(HaveOccurred())
 	}
 	f.setDemand(5, evicted)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -20,12 +20,12 @@
 	for i, hall := range []string{"a", "a", "b"} {
 		text += fmt.Sprintf("[server s%d]\naddress = 127.0.0.1:%d\nhall = %s\nkind = k\n", i, i+1, hall)
 	}
-	st, err := standin.Agreed(text + "[model m]\nversion = 1\nmemory = 1B\nclass = c\n")
+	st, err := standin.CommittedState(text + "[model m]\nversion = 1\nmemory = 1B\nclass = c\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		standin.Ready(st, fmt.Sprint("s", i), 0, &wire.Item{Model: "m", Version: "1"}, 1)
+		standin.AddReadyResident(st, fmt.Sprint("s", i), 0, &wire.Item{Model: "m", Version: "1"}, 1)
 	}
 	d := route.NewDirectory("a")
 	d.Update(st)
@@ -139,13 +139,13 @@
 	g := NewWithT(t)
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\n[server s0]\naddress = 127.0.0.1:1\nhall = a\nkind = k\n" +
 		"[model m]\nversion = 1\nmemory = 1B\nclass = c\n[adapter x]\nmodel = m\nversion = 1\nmemory = 1B\n"
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	g.Expect(err).NotTo(HaveOccurred())
-	standin.Ready(st, "s0", 0, &wire.Item{Model: "m", Adapter: "x", Version: "1"}, 1)
+	standin.AddReadyResident(st, "s0", 0, &wire.Item{Model: "m", Adapter: "x", Version: "1"}, 1)
 	d := route.NewDirectory("a")
 	d.Update(st)
 	g.Expect(d.Table().Models["x"].Backends).To(BeEmpty())
-	standin.Ready(st, "s0", 0, &wire.Item{Model: "m", Version: "1"}, 1)
+	standin.AddReadyResident(st, "s0", 0, &wire.Item{Model: "m", Version: "1"}, 1)
 	d.Update(st)
 	g.Expect(d.Table().Models["x"].Backends).To(HaveLen(1))
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -253,7 +253,7 @@
 		return
 	}
 	var mu sync.Mutex // of lateness
-	s.SetLate(func() time.Duration {
+	s.SetOrderDelay(func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
 		if lateness.IntN(2) == 0 {
@@ -263,6 +263,6 @@
 	})
 	f.wg.Go(func() {
 		time.Sleep(span)
-		s.SetLate(nil)
+		s.SetOrderDelay(nil)
 	})
 }
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -130,9 +130,9 @@
 
 // checkLimit returns how many windows it judged.
 func (w *world) checkLimit(s *standin.Server) (judged int) {
-	arrived := s.Arrived()
+	arrived := s.Arrivals()
 	for i, last := range arrived {
-		from := last.At.Add(-limitWindow)
+		from := last.ReceivedAt.Add(-limitWindow)
 		limit, since := limitIn(arrived[:i+1], from)
 		if limit == 0 || from.Before(since.Add(limitContact)) {
 			continue
@@ -140,7 +140,7 @@
 		judged++
 		count := 0
 		for _, a := range arrived[:i+1] {
-			if a.At.After(from) && w.limits.holds(a.Via, from, last.At) && toldBefore(arrived, a.Via, from.Add(-limitTold)) {
+			if a.ReceivedAt.After(from) && w.limits.holds(a.Via, from, last.ReceivedAt) && toldBefore(arrived, a.Via, from.Add(-limitTold)) {
 				count++
 			}
 		}
@@ -160,8 +160,8 @@
 		case a.Limit == 0:
 			highest, since = 0, time.Time{}
 		case since.IsZero():
-			highest, since = a.Limit, a.At
-		case a.At.Before(from.Add(-limitContact)):
+			highest, since = a.Limit, a.ReceivedAt
+		case a.ReceivedAt.Before(from.Add(-limitContact)):
 			highest = a.Limit
 		default:
 			highest = max(highest, a.Limit)
@@ -173,6 +173,6 @@
 // toldBefore reports whether a box had passed an answer with a limit on before a time.
 func toldBefore(arrived []standin.Arrival, box string, before time.Time) bool {
 	return slices.ContainsFunc(arrived, func(a standin.Arrival) bool {
-		return a.Via == box && a.Limit > 0 && a.At.Before(before)
+		return a.Via == box && a.Limit > 0 && a.ReceivedAt.Before(before)
 	})
 }
--- a/soak/pushback_test.go
+++ b/soak/pushback_test.go
@@ -107,7 +107,7 @@
 	w.mu.Unlock()
 	rests, lefts := 0, 0
 	for _, s := range servers {
-		arrived := s.AllArrived()
+		arrived := s.AllArrivals()
 		rests += w.checkRests(s, arrived)
 		lefts += w.checkLeft(s, arrived)
 	}
@@ -118,19 +118,19 @@
 // those of one: the leader's.
 func (w *world) checkRests(s *standin.Server, arrived []standin.Arrival) (judged int) {
 	for i, asked := range arrived {
-		until := asked.At.Add(asked.Rest)
-		if asked.Rest <= restTold || !w.undisturbed(asked, until) {
+		until := asked.ReceivedAt.Add(asked.RetryAfter)
+		if asked.RetryAfter <= restTold || !w.undisturbed(asked, until) {
 			continue
 		}
 		judged++
 		n := 0
 		for _, a := range arrived[i+1:] {
-			if since := a.At.Sub(asked.At); a.Via == asked.Via && since > restTold && since < asked.Rest {
+			if since := a.ReceivedAt.Sub(asked.ReceivedAt); a.Via == asked.Via && since > restTold && since < asked.RetryAfter {
 				n++
 			}
 		}
 		if n > restMost {
-			w.find("server %s asked box %q (control %v) for %v of rest and got %d requests in it", s.ID, asked.Via, asked.Control, asked.Rest, n)
+			w.find("server %s asked box %q (control %v) for %v of rest and got %d requests in it", s.ID, asked.Via, asked.Control, asked.RetryAfter, n)
 		}
 	}
 	return judged
@@ -140,10 +140,10 @@
 // may be any, whether all were.
 func (w *world) undisturbed(asked standin.Arrival, until time.Time) bool {
 	if !asked.Control {
-		return w.limits.undisturbed(asked.Via, asked.At, until)
+		return w.limits.undisturbed(asked.Via, asked.ReceivedAt, until)
 	}
 	for _, d := range w.boxes {
-		if !w.limits.undisturbed(d.ip, asked.At, until) {
+		if !w.limits.undisturbed(d.ip, asked.ReceivedAt, until) {
 			return false
 		}
 	}
@@ -158,11 +158,11 @@
 			continue
 		}
 		since, known := told[a.Via]
-		if known && a.Sent.After(since.Add(leaveTold)) && w.limits.undisturbed(a.Via, since, a.At) {
-			w.find("server %s got a request of box %s that was sent %v after its answer that it is about to end", s.ID, a.Via, a.Sent.Sub(since))
+		if known && a.SentAt.After(since.Add(leaveTold)) && w.limits.undisturbed(a.Via, since, a.ReceivedAt) {
+			w.find("server %s got a request of box %s that was sent %v after its answer that it is about to end", s.ID, a.Via, a.SentAt.Sub(since))
 		}
-		if a.Left && !known {
-			told[a.Via] = a.At
+		if a.Draining && !known {
+			told[a.Via] = a.ReceivedAt
 		}
 	}
 	return len(told)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -135,7 +135,7 @@
 		for id, n := range s.Runs() {
 			runs[id] += n
 		}
-		for _, fault := range s.Faults() {
+		for _, fault := range s.Violations() {
 			w.find("server %s: %s", s.ID, fault)
 		}
 	}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -251,19 +251,19 @@
 // startServer starts the stand-in of a place under a new id.
 func (w *world) startServer(place int) {
 	s := &standin.Server{
-		ID: fmt.Sprintf("i-%d-%d", place, time.Now().UnixNano()), Service: "s", Hall: "h", Room: 220, AdapterSlots: 3, LoadTime: 200 * time.Millisecond,
-		Beat: 300 * time.Millisecond, Lease: orderPause - 100*time.Millisecond, Events: events, Pause: 15 * time.Millisecond, Weights: map[string]int{},
+		ID: fmt.Sprintf("i-%d-%d", place, time.Now().UnixNano()), Service: "s", Hall: "h", Memory: 220, AdapterSlots: 3, LoadTime: 200 * time.Millisecond,
+		HeartbeatInterval: 300 * time.Millisecond, MinHolderGap: orderPause - 100*time.Millisecond, EventCount: events, EventDelay: 15 * time.Millisecond, ModelSizes: map[string]int{},
 	}
 	w.limits.begin(s.ID)
-	s.Limit = func() string { return w.limits.of(s.ID) }
-	s.TurnAway = func(string) string { return w.pushback.turnAway(s.ID) }
-	s.TurnCallsAway = func() string { return w.pushback.turnAway(s.ID) }
-	s.Leaves = func() bool { return w.pushback.leaves(s.ID) }
+	s.ReportedLimit = func() string { return w.limits.of(s.ID) }
+	s.RetryAfter = func(string) string { return w.pushback.turnAway(s.ID) }
+	s.ControlRetryAfter = func() string { return w.pushback.turnAway(s.ID) }
+	s.ReportsDraining = func() bool { return w.pushback.leaves(s.ID) }
 	for _, d := range w.boxes {
-		s.Control = append(s.Control, d.control())
+		s.ControlAddresses = append(s.ControlAddresses, d.control())
 	}
 	for i := range models {
-		s.Weights[fmt.Sprint("m", i)] = 70
+		s.ModelSizes[fmt.Sprint("m", i)] = 70
 	}
 	if err := s.Start(fmt.Sprint("m", place)); err != nil {
 		w.find("a stand-in does not start: %v", err)
--- a/standin/agreed.go
+++ b/standin/agreed.go
@@ -12,29 +12,29 @@
 	"leverdrum/wire"
 )
 
-// Agreed returns the agreed state after one fleet file was accepted, as if by
+// CommittedState returns the agreed state after one fleet file was accepted, as if by
 // boxes that are not there. All model servers are known under incarnation "i".
-func Agreed(text string) (*state.State, error) {
+func CommittedState(text string) (*state.State, error) {
 	st := state.New()
-	if r := Apply(st, text, 1); r.Err != nil {
+	if r := ApplyFleetFile(st, text, 1); r.Err != nil {
 		return nil, r.Err
 	}
 	for name := range st.Fleet.Servers {
 		for _, settled := range []bool{false, true} {
-			Agree(st, &wire.Command{Kind: &wire.Command_Server{Server: &wire.ServerSeen{Server: name, Incarnation: "i", Settled: settled}}})
+			ApplyCommand(st, &wire.Command{Kind: &wire.Command_Server{Server: &wire.ServerSeen{Server: name, Incarnation: "i", Settled: settled}}})
 		}
 	}
 	return st, nil
 }
 
-// Apply applies a fleet file under the given number in place of its own.
-func Apply(st *state.State, text string, number uint64) state.Result {
+// ApplyFleetFile applies a fleet file under the given number in place of its own.
+func ApplyFleetFile(st *state.State, text string, number uint64) state.Result {
 	text = strings.Replace(text, "number = 1\n", fmt.Sprintf("number = %d\n", number), 1)
-	return Agree(st, &wire.Command{Kind: &wire.Command_Apply{Apply: &wire.ApplyFleet{Number: number, Digest: fleet.Digest([]byte(text)), Text: text}}})
+	return ApplyCommand(st, &wire.Command{Kind: &wire.Command_Apply{Apply: &wire.ApplyFleet{Number: number, Digest: fleet.Digest([]byte(text)), Text: text}}})
 }
 
-// Agree applies one more command.
-func Agree(st *state.State, c *wire.Command) state.Result {
+// ApplyCommand applies one more command.
+func ApplyCommand(st *state.State, c *wire.Command) state.Result {
 	data, err := proto.Marshal(c)
 	if err != nil {
 		return state.Result{Err: err}
@@ -42,22 +42,22 @@
 	return st.Apply(&wire.Entry{Index: st.Index + 1, Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 }
 
-// Ready puts a model, or an adapter when it is named, ready on a server.
-func Ready(st *state.State, server string, accelerator uint32, item *wire.Item, memory uint64) {
+// AddReadyResident puts a model, or an adapter when it is named, ready on a server.
+func AddReadyResident(st *state.State, server string, accelerator uint32, item *wire.Item, memory uint64) {
 	r := &wire.Resident{Server: server, Accelerator: accelerator, Item: item, Memory: memory, Phase: wire.Phase_PHASE_READY}
 	st.Residents.Put(r)
 }
 
-// Hold makes a model server hold an item at once.
-func (e *Engine) Hold(accelerator uint32, model, adapter, version string, memory uint64) {
+// Load makes a model server hold an item at once.
+func (e *Engine) Load(accelerator uint32, model, adapter, version string, memory uint64) {
 	out := e.carryOut(&engine.Order{ID: e.nextFence(), Incarnation: e.incarnation, Action: engine.Load, Accelerator: accelerator, Model: model, Adapter: adapter, Version: version, Memory: memory})
 	if !out.Done {
 		panic("standin: " + out.Detail)
 	}
 }
 
-// Drop makes a model server drop a model at once.
-func (e *Engine) Drop(accelerator uint32, model, version string) {
+// Unload makes a model server drop a model at once.
+func (e *Engine) Unload(accelerator uint32, model, version string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.residents, keyOf(accelerator, model, "", version))
--- a/standin/authority.go
+++ b/standin/authority.go
@@ -47,9 +47,9 @@
 	return &Authority{cert, key}, Error.Wrap(err)
 }
 
-// Write issues a certificate for a name and writes its files to a folder, over
+// Issue issues a certificate for a name and writes its files to a folder, over
 // those of an earlier call.
-func (a *Authority) Write(folder, name string) (certs.Files, error) {
+func (a *Authority) Issue(folder, name string) (certs.Files, error) {
 	f := certs.Files{Certificate: filepath.Join(folder, "certificate"), Key: filepath.Join(folder, "key"), Authority: filepath.Join(folder, "authority")}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/standin/chat.go
+++ b/standin/chat.go
@@ -59,7 +59,7 @@
 		e.cancelled()
 		return
 	}
-	if f.BreakBefore {
+	if f.DisconnectBeforeResponse {
 		breakOff()
 	}
 	if !wait.For(r.Context(), e.prefixes.read(q.Model, q.Messages)) {
@@ -67,7 +67,7 @@
 		return
 	}
 	w.Header().Set(engine.HeaderVersion, version)
-	words := Words(q.Model, version, body, q.MaxTokens)
+	words := ExpectedWords(q.Model, version, body, q.MaxTokens)
 	if q.Stream {
 		e.stream(w, r, f, q.Model, words)
 		return
@@ -83,8 +83,8 @@
 	w.Header().Set(engine.HeaderAttemptID, id)
 }
 
-// Words returns the words of the only right answer to a request.
-func Words(model, version string, body []byte, n int) []string {
+// ExpectedWords returns the words of the only right answer to a request.
+func ExpectedWords(model, version string, body []byte, n int) []string {
 	h := fnv.New64a()
 	h.Write(body)
 	words := []string{model + "@" + version, hex.EncodeToString(h.Sum(nil))}
@@ -103,7 +103,7 @@
 			return r.Version, true
 		}
 	}
-	e.account.Missing++
+	e.account.NotResident++
 	return "", false
 }
 
@@ -140,7 +140,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account.Ran[id]++
+	e.account.Runs[id]++
 }
 
 func (e *Engine) cancelled() {
@@ -187,8 +187,8 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", fmt.Sprint(len(body)))
-	if f.BreakAfter > 0 && f.BreakAfter < len(body) {
-		_, _ = w.Write(body[:f.BreakAfter])
+	if f.DisconnectAfter > 0 && f.DisconnectAfter < len(body) {
+		_, _ = w.Write(body[:f.DisconnectAfter])
 		_ = http.NewResponseController(w).Flush()
 		breakOff()
 	}
@@ -208,12 +208,12 @@
 			breakOff()
 		}
 		id := ""
-		if e.opts.Resumes {
+		if e.opts.ResumesStreams {
 			id = fmt.Sprintf("id: %d\n", i+1)
 		}
 		n, _ := fmt.Fprintf(w, "%sdata: %s\n\n", id, data)
 		_ = flush.Flush()
-		if sent += n; f.BreakAfter > 0 && sent >= f.BreakAfter {
+		if sent += n; f.DisconnectAfter > 0 && sent >= f.DisconnectAfter {
 			breakOff()
 		}
 		if f.StallAfter > 0 && sent >= f.StallAfter {
@@ -222,7 +222,7 @@
 			return
 		}
 	}
-	if f.NoLastEvent {
+	if f.OmitLastEvent {
 		return
 	}
 	fmt.Fprintf(w, "%s\n\n", engine.StreamDone)
@@ -231,7 +231,7 @@
 // resumeAt returns the index of the first word that the request still wants.
 func (e *Engine) resumeAt(r *http.Request, words int) int {
 	at, err := strconv.Atoi(r.Header.Get(engine.HeaderLastEvent))
-	if !e.opts.Resumes || err != nil || at < 0 || at > words {
+	if !e.opts.ResumesStreams || err != nil || at < 0 || at > words {
 		return 0
 	}
 	e.mu.Lock()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -23,28 +23,28 @@
 	Concurrency  int
 	TokenTime    time.Duration
 	LoadTime     time.Duration
-	// PrefillByte is the time of reading one byte of a prompt that is not among
+	// PrefillTimePerByte is the time of reading one byte of a prompt that is not among
 	// the Prefixes message ends that the server keeps.
-	PrefillByte time.Duration
-	Prefixes    int
-	// Resumes numbers the events of streams and goes on behind Last-Event-Id.
-	Resumes bool
-	// Store is the weight store's address, "" for none.
-	Store string
+	PrefillTimePerByte time.Duration
+	CachedPrefixes     int
+	// ResumesStreams numbers the events of streams and goes on behind Last-Event-Id.
+	ResumesStreams bool
+	// StoreAddress is the weight store's address, "" for none.
+	StoreAddress string
 }
 
-// EngineAccount is what the server itself saw.
-type EngineAccount struct {
+// EngineStats is what the server itself saw.
+type EngineStats struct {
 	// Overcommits counts the moments at which an accelerator held more than it has.
 	Overcommits int `json:"overcommits"`
 	// Peak is the most bytes that an accelerator held.
 	Peak      uint64         `json:"peak"`
 	Orders    int            `json:"orders"`
-	Ran       map[string]int `json:"ran"` // by request id
+	Runs      map[string]int `json:"ran"` // by request id
 	Cancelled int            `json:"cancelled"`
 	// Resumed counts streams that began at another server.
-	Resumed int `json:"resumed"`
-	Missing int `json:"missing"` // requests for what was not resident
+	Resumed     int `json:"resumed"`
+	NotResident int `json:"missing"` // requests for what was not resident
 }
 
 // Engine is a model server. It implements http.Handler.
@@ -62,7 +62,7 @@
 	outcomes  map[uint64]engine.Outcome
 	running   int
 	waiting   int
-	account   EngineAccount
+	account   EngineStats
 }
 
 func engineFlags(f *flag.FlagSet) func() http.Handler {
@@ -73,11 +73,11 @@
 	f.IntVar(&o.Concurrency, "concurrency", 16, "requests at once")
 	f.DurationVar(&o.TokenTime, "token-time", time.Millisecond, "time of one token")
 	f.DurationVar(&o.LoadTime, "load-time", 50*time.Millisecond, "time of one load without a store")
-	f.DurationVar(&o.PrefillByte, "prefill-byte", 0, "time of reading one byte of a prompt that is not kept")
-	f.IntVar(&o.Prefixes, "prefixes", 1000, "prompt messages that are kept")
-	f.BoolVar(&o.Resumes, "resumes-streams", true, "number the events of streams and go on with streams of others")
+	f.DurationVar(&o.PrefillTimePerByte, "prefill-byte", 0, "time of reading one byte of a prompt that is not kept")
+	f.IntVar(&o.CachedPrefixes, "prefixes", 1000, "prompt messages that are kept")
+	f.BoolVar(&o.ResumesStreams, "resumes-streams", true, "number the events of streams and go on with streams of others")
 	said := selfFlags(f)
-	f.StringVar(&o.Store, "store", "", "address of the weight store")
+	f.StringVar(&o.StoreAddress, "store", "", "address of the weight store")
 	return func() http.Handler {
 		n, err := humanize.ParseBytes(*memory)
 		if err != nil {
@@ -85,7 +85,7 @@
 		}
 		o.Memory = n
 		e := NewEngine(o)
-		e.Set(*said)
+		e.SetFaults(*said)
 		return e
 	}
 }
@@ -94,35 +94,35 @@
 func NewEngine(o EngineOptions) *Engine {
 	e := &Engine{
 		opts: o, mux: http.NewServeMux(), slots: make(chan struct{}, o.Concurrency), incarnation: rand.Text(),
-		prefixes:  newPrefixes(o.Prefixes, o.PrefillByte),
-		residents: map[string]*engine.Resident{}, outcomes: map[uint64]engine.Outcome{}, account: EngineAccount{Ran: map[string]int{}},
+		prefixes:  newPrefixes(o.CachedPrefixes, o.PrefillTimePerByte),
+		residents: map[string]*engine.Resident{}, outcomes: map[uint64]engine.Outcome{}, account: EngineStats{Runs: map[string]int{}},
 	}
 	e.mux.HandleFunc("GET "+engine.StatePath, e.state)
 	e.mux.HandleFunc("POST "+engine.OrderPath, e.order)
 	e.mux.HandleFunc("POST "+engine.ChatPath, e.chat)
 	e.mux.HandleFunc("PUT "+FaultsPath, e.handle)
-	e.mux.HandleFunc("GET "+AccountPath, func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, http.StatusOK, e.Account()) })
+	e.mux.HandleFunc("GET "+AccountPath, func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, http.StatusOK, e.Stats()) })
 	return e
 }
 
 // ServeHTTP serves the protocol.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Account returns what the server saw so far.
-func (e *Engine) Account() EngineAccount {
+// Stats returns what the server saw so far.
+func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.account
-	a.Ran = make(map[string]int, len(e.account.Ran))
-	for k, v := range e.account.Ran {
-		a.Ran[k] = v
+	a.Runs = make(map[string]int, len(e.account.Runs))
+	for k, v := range e.account.Runs {
+		a.Runs[k] = v
 	}
 	return a
 }
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := engine.State{Incarnation: e.incarnation, Draining: e.get().Leaving, Fence: e.fence, Running: e.running, Waiting: e.waiting, Residents: []engine.Resident{}}
+	s := engine.State{Incarnation: e.incarnation, Draining: e.get().Draining, Fence: e.fence, Running: e.running, Waiting: e.waiting, Residents: []engine.Resident{}}
 	for _, r := range e.residents {
 		s.Residents = append(s.Residents, *r)
 	}
@@ -143,7 +143,7 @@
 	f := e.get()
 	time.Sleep(time.Duration(f.OrderDelayMs) * time.Millisecond)
 	out := e.carryOut(o)
-	if f.LoseOrderAnswers {
+	if f.DropOrderResponses {
 		breakOff()
 	}
 	status := http.StatusOK
@@ -202,7 +202,7 @@
 
 // fetch gets the weights.
 func (e *Engine) fetch(o *engine.Order) bool {
-	if e.opts.Store == "" {
+	if e.opts.StoreAddress == "" {
 		time.Sleep(e.opts.LoadTime)
 		return true
 	}
@@ -210,7 +210,7 @@
 	if o.Adapter != "" {
 		name = o.Adapter
 	}
-	resp, err := http.Get("http://" + e.opts.Store + "/weights/" + name + "/" + o.Version)
+	resp, err := http.Get("http://" + e.opts.StoreAddress + "/weights/" + name + "/" + o.Version)
 	if err != nil {
 		return false
 	}
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,14 +12,14 @@
 	"leverdrum/engine"
 )
 
-// ServiceAccount is what the service itself saw.
-type ServiceAccount struct {
-	// Ran counts executions by key, or by request id where there is no key.
-	Ran map[string]int `json:"ran"`
+// ServiceStats is what the service itself saw.
+type ServiceStats struct {
+	// Runs counts executions by key, or by request id where there is no key.
+	Runs map[string]int `json:"ran"`
 }
 
-// ServiceAnswer is the only right answer of a service to a call.
-type ServiceAnswer struct {
+// ServiceResponse is the only right answer of a service to a call.
+type ServiceResponse struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
@@ -47,7 +47,7 @@
 	said := selfFlags(f)
 	return func() http.Handler {
 		s := NewService(*name, *key, *took)
-		s.Set(*said)
+		s.SetFaults(*said)
 		return s
 	}
 }
@@ -57,13 +57,13 @@
 	return &Service{name: name, keyHeader: keyHeader, took: took, ran: map[string]int{}}
 }
 
-// Account returns what the service saw so far.
-func (s *Service) Account() ServiceAccount {
+// Stats returns what the service saw so far.
+func (s *Service) Stats() ServiceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := ServiceAccount{Ran: make(map[string]int, len(s.ran))}
+	a := ServiceStats{Runs: make(map[string]int, len(s.ran))}
 	for k, v := range s.ran {
-		a.Ran[k] = v
+		a.Runs[k] = v
 	}
 	return a
 }
@@ -75,7 +75,7 @@
 		s.handle(w, r)
 		return
 	case AccountPath:
-		answerJSON(w, http.StatusOK, s.Account())
+		answerJSON(w, http.StatusOK, s.Stats())
 		return
 	}
 	f := s.next()
@@ -91,7 +91,7 @@
 	}
 	answer := s.run(r, body)
 	time.Sleep(s.took + time.Duration(f.DelayMs)*time.Millisecond)
-	if f.BreakBefore {
+	if f.DisconnectBeforeResponse {
 		breakOff()
 	}
 	w.Header().Set(engine.HeaderAttemptID, r.Header.Get(engine.HeaderAttemptID))
@@ -102,7 +102,7 @@
 	answerJSON(w, http.StatusOK, answer)
 }
 
-func (s *Service) run(r *http.Request, body []byte) ServiceAnswer {
+func (s *Service) run(r *http.Request, body []byte) ServiceResponse {
 	key := r.Header.Get(s.keyHeader)
 	if key == "" {
 		key, _, _ = strings.Cut(r.Header.Get(engine.HeaderAttemptID), ".")
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ran[key]++
-	return ServiceAnswer{s.name, r.Method, r.URL.RequestURI(), string(body), key, s.ran[key]}
+	return ServiceResponse{s.name, r.Method, r.URL.RequestURI(), string(body), key, s.ran[key]}
 }
 
 // Store is the weight store. It implements http.Handler.
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -31,32 +31,32 @@
 type Faults struct {
 	// DelayMs holds up each answer, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// BreakAfter closes the connection after so many bytes of an answer's body.
-	BreakAfter int `json:"break_after"`
+	// DisconnectAfter closes the connection after so many bytes of an answer's body.
+	DisconnectAfter int `json:"break_after"`
 	// Status, unless 0, answers requests that ran with this status at once.
 	Status int `json:"status"`
-	// Every makes only each n-th request misbehave; 0 means each one.
-	Every int `json:"every"`
+	// EveryNth makes only each n-th request misbehave; 0 means each one.
+	EveryNth int `json:"every"`
 	// StallAfter says nothing more after so many bytes of a stream.
 	StallAfter int `json:"stall_after"`
-	// BreakBefore closes the connection after a request ran, before its answer.
-	BreakBefore bool `json:"break_before"`
-	// NoLastEvent ends streams cleanly but without their last event.
-	NoLastEvent bool `json:"no_last_event"`
+	// DisconnectBeforeResponse closes the connection after a request ran, before its answer.
+	DisconnectBeforeResponse bool `json:"break_before"`
+	// OmitLastEvent ends streams cleanly but without their last event.
+	OmitLastEvent bool `json:"no_last_event"`
 	// Refuse answers 503 with the word that nothing was run.
 	Refuse bool `json:"refuse"`
 	// WrongID answers with the id of another attempt.
 	WrongID bool `json:"wrong_id"`
-	// Leaving makes a model server say that it leaves.
-	Leaving bool `json:"leaving"`
-	// LoseOrderAnswers runs orders and closes the connection without an answer.
-	LoseOrderAnswers bool `json:"lose_order_answers"`
+	// Draining makes a model server say that it leaves.
+	Draining bool `json:"leaving"`
+	// DropOrderResponses runs orders and closes the connection without an answer.
+	DropOrderResponses bool `json:"lose_order_answers"`
 	// Limit is what answers name as the requests a second that the server takes from all boxes; "": none.
 	Limit string `json:"limit"`
-	// Rest is the Retry-After with which requests are turned away, 503 and not run; "": none is.
-	Rest string `json:"rest"`
-	// Drains has answers say that the server is about to end.
-	Drains bool `json:"drains"`
+	// RetryAfter is the Retry-After with which requests are turned away, 503 and not run; "": none is.
+	RetryAfter string `json:"rest"`
+	// DrainingHeader has answers say that the server is about to end.
+	DrainingHeader bool `json:"drains"`
 	// OrderDelayMs holds up orders before they run, in milliseconds.
 	OrderDelayMs int `json:"order_delay_ms"`
 }
@@ -80,21 +80,21 @@
 	defer f.mu.Unlock()
 	f.count++
 	f.came = append(f.came, time.Now())
-	if f.now.Every > 1 && f.count%f.now.Every != 0 {
-		return Faults{Leaving: f.now.Leaving, Limit: f.now.Limit, Drains: f.now.Drains}
+	if f.now.EveryNth > 1 && f.count%f.now.EveryNth != 0 {
+		return Faults{Draining: f.now.Draining, Limit: f.now.Limit, DrainingHeader: f.now.DrainingHeader}
 	}
 	return f.now
 }
 
-// Set replaces the faults.
-func (f *faults) Set(v Faults) {
+// SetFaults replaces the faults.
+func (f *faults) SetFaults(v Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = v
 }
 
-// Came returns when requests came, orders and readings of its state aside.
-func (f *faults) Came() []time.Time {
+// ArrivalTimes returns when requests came, orders and readings of its state aside.
+func (f *faults) ArrivalTimes() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]time.Time(nil), f.came...)
@@ -105,16 +105,16 @@
 	if f.Limit != "" {
 		w.Header().Set(dialect.Native.Limit, f.Limit)
 	}
-	if f.Drains {
+	if f.DrainingHeader {
 		w.Header().Set(dialect.Native.Draining, "1")
 	}
-	if f.Rest != "" {
-		w.Header().Set("Retry-After", f.Rest)
+	if f.RetryAfter != "" {
+		w.Header().Set("Retry-After", f.RetryAfter)
 	}
 }
 
 // refuses reports whether requests are turned away.
-func (f Faults) refuses() bool { return f.Refuse || f.Rest != "" }
+func (f Faults) refuses() bool { return f.Refuse || f.RetryAfter != "" }
 
 func (f *faults) handle(w http.ResponseWriter, r *http.Request) {
 	var v Faults
@@ -122,7 +122,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f.Set(v)
+	f.SetFaults(v)
 }
 
 func answerJSON(w http.ResponseWriter, status int, v any) {
@@ -182,9 +182,9 @@
 func selfFlags(f *flag.FlagSet) *Faults {
 	said := &Faults{}
 	f.StringVar(&said.Limit, "limit", "", "requests a second that answers name as what the server takes from all boxes")
-	f.StringVar(&said.Rest, "rest", "", "Retry-After with which requests are turned away")
-	f.IntVar(&said.Every, "every", 0, "turn away each n-th request only; 0: all")
-	f.BoolVar(&said.Drains, "drains", false, "say in answers that the server is about to end")
+	f.StringVar(&said.RetryAfter, "rest", "", "Retry-After with which requests are turned away")
+	f.IntVar(&said.EveryNth, "every", 0, "turn away each n-th request only; 0: all")
+	f.BoolVar(&said.DrainingHeader, "drains", false, "say in answers that the server is about to end")
 	return said
 }
 
--- a/standin/verify.go
+++ b/standin/verify.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	want := strings.Join(Words(model, version, body, defaultTokens), " ")
+	want := strings.Join(ExpectedWords(model, version, body, defaultTokens), " ")
 	if got != want {
 		return fmt.Errorf("model %s answered %q, not %q", model, got, want)
 	}
@@ -163,7 +163,7 @@
 		if err != nil {
 			return err
 		}
-		var a ServiceAnswer
+		var a ServiceResponse
 		err = json.NewDecoder(resp.Body).Decode(&a)
 		resp.Body.Close()
 		if err != nil {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -91,14 +91,14 @@
 	for _, name := range []string{"s0", "s1", "s2"} {
 		text += "[server " + name + "]\naddress = 127.0.0.1:1\nhall = a\nkind = k\n"
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	g.Expect(err).NotTo(HaveOccurred())
 	order := func(action wire.OrderAction, server string) {
-		r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: &wire.Order{
+		r := standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: &wire.Order{
 			Action: action, Server: server, ServerIncarnation: "i", Item: &wire.Item{Model: "m", Version: "1"}, Memory: 1 << 20,
 		}}}})
 		g.Expect(r.Err).NotTo(HaveOccurred())
-		standin.Agree(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: r.Order.Id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
+		standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: r.Order.Id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 	}
 	for _, row := range []struct {
 		action wire.OrderAction
