--- a/standin/authority.go
+++ b/standin/authority.go
@@ -17,26 +17,26 @@
 	"leverdrum/certs"
 )
 
-// Error is the class of this package's errors.
+// Error is the error class of this package.
 var Error = errs.Class("standin")
 
-// Authority issues certificates, as the operators' own does.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// certificateAge is how long issued certificates are valid.
-const certificateAge = time.Hour
+// certificateTTL is the validity period of issued certificates.
+const certificateTTL = time.Hour
 
-// NewAuthority returns an authority with a new key.
+// NewAuthority returns an authority with a new key and a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	t := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(certificateAge),
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(certificateTTL),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
@@ -47,15 +47,15 @@
 	return &Authority{cert, key}, Error.Wrap(err)
 }
 
-// Issue issues a certificate for a name and writes its files to a folder, over
-// those of an earlier call.
+// Issue issues a certificate for a name and writes the certificate, its key and the authority's certificate to a
+// folder, overwriting the files of an earlier call.
 func (a *Authority) Issue(folder, name string) (certs.Files, error) {
 	f := certs.Files{Certificate: filepath.Join(folder, "certificate"), Key: filepath.Join(folder, "key"), Authority: filepath.Join(folder, "authority")}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return f, Error.Wrap(err)
 	}
-	t := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotAfter: time.Now().Add(certificateAge)}
+	t := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, NotAfter: time.Now().Add(certificateTTL)}
 	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &key.PublicKey, a.key)
 	if err != nil {
 		return f, Error.Wrap(err)
--- a/standin/chat.go
+++ b/standin/chat.go
@@ -23,59 +23,59 @@
 	MaxTokens int               `json:"max_tokens"`
 }
 
-// defaultTokens is the length of an answer that was not asked for in tokens.
+// defaultTokens is the response length where the request sets no max_tokens.
 const defaultTokens = 8
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	q := &chatRequest{}
 	if err != nil || json.Unmarshal(body, q) != nil {
-		http.Error(w, "not a chat request", http.StatusBadRequest)
+		http.Error(w, "malformed chat request", http.StatusBadRequest)
 		return
 	}
 	if q.MaxTokens == 0 {
 		q.MaxTokens = defaultTokens
 	}
-	f := e.next()
-	f.speak(w)
-	e.setID(w, r, f)
-	version, resident := e.find(q.Model)
-	if !resident || f.refuses() {
+	f := e.nextRequest()
+	f.setHeaders(w)
+	e.setAttemptID(w, r, f)
+	version, resident := e.readyVersion(q.Model)
+	if !resident || f.rejects() {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
-	release, ok := e.enter(r.Context())
+	release, ok := e.acquireSlot(r.Context())
 	if !ok {
 		return
 	}
 	defer release()
-	e.ran(r)
+	e.recordRun(r)
 	if f.Status != 0 {
 		http.Error(w, "failed", f.Status)
 		return
 	}
 	if !wait.For(r.Context(), time.Duration(f.DelayMs)*time.Millisecond) {
-		e.cancelled()
+		e.recordCancelled()
 		return
 	}
 	if f.DisconnectBeforeResponse {
-		breakOff()
+		abortConnection()
 	}
-	if !wait.For(r.Context(), e.prefixes.read(q.Model, q.Messages)) {
-		e.cancelled()
+	if !wait.For(r.Context(), e.prefixes.prefill(q.Model, q.Messages)) {
+		e.recordCancelled()
 		return
 	}
 	w.Header().Set(engine.HeaderVersion, version)
 	words := ExpectedWords(q.Model, version, body, q.MaxTokens)
 	if q.Stream {
-		e.stream(w, r, f, q.Model, words)
+		e.writeStream(w, r, f, q.Model, words)
 		return
 	}
-	e.whole(w, r, f, q.Model, words)
+	e.writeCompletion(w, r, f, q.Model, words)
 }
 
-func (e *Engine) setID(w http.ResponseWriter, r *http.Request, f Faults) {
+func (e *Engine) setAttemptID(w http.ResponseWriter, r *http.Request, f Faults) {
 	id := r.Header.Get(engine.HeaderAttemptID)
 	if f.WrongID {
 		id = "of-another"
@@ -83,7 +83,7 @@
 	w.Header().Set(engine.HeaderAttemptID, id)
 }
 
-// ExpectedWords returns the words of the only right answer to a request.
+// ExpectedWords returns the words of the only correct response to a request.
 func ExpectedWords(model, version string, body []byte, n int) []string {
 	h := fnv.New64a()
 	h.Write(body)
@@ -94,8 +94,8 @@
 	return words
 }
 
-// find returns the version of a model or adapter that is ready.
-func (e *Engine) find(name string) (string, bool) {
+// readyVersion returns the version of the named model or adapter that is resident and ready. It counts a miss.
+func (e *Engine) readyVersion(name string) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.residents {
@@ -103,12 +103,12 @@
 			return r.Version, true
 		}
 	}
-	e.account.NotResident++
+	e.stats.NotResident++
 	return "", false
 }
 
-// enter waits for a place in the batch.
-func (e *Engine) enter(ctx context.Context) (release func(), ok bool) {
+// acquireSlot waits for a batch slot. It fails if ctx is cancelled first.
+func (e *Engine) acquireSlot(ctx context.Context) (release func(), ok bool) {
 	e.mu.Lock()
 	e.waiting++
 	e.mu.Unlock()
@@ -133,79 +133,79 @@
 	}, true
 }
 
-func (e *Engine) ran(r *http.Request) {
+func (e *Engine) recordRun(r *http.Request) {
 	id := r.Header.Get(engine.HeaderAttemptID)
 	if i := strings.LastIndexByte(id, '.'); i > 0 {
 		id = id[:i]
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account.Runs[id]++
+	e.stats.Runs[id]++
 }
 
-func (e *Engine) cancelled() {
+func (e *Engine) recordCancelled() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account.Cancelled++
+	e.stats.Cancelled++
 }
 
-// generate waits for the time of n tokens; false when the request was cancelled.
+// generate waits for the generation time of n tokens. It returns false if the request was cancelled.
 func (e *Engine) generate(ctx context.Context, n int) bool {
 	if !wait.For(ctx, time.Duration(n)*e.opts.TokenTime) || ctx.Err() != nil {
-		e.cancelled()
+		e.recordCancelled()
 		return false
 	}
 	return true
 }
 
-// Completion is a whole answer.
+// Completion is a chat completion, or one chunk of it in a stream.
 type Completion struct {
 	Object  string   `json:"object"`
 	Model   string   `json:"model"`
 	Choices []Choice `json:"choices"`
 }
 
-// Choice is the only choice of an answer, or a part of it in a stream.
+// Choice is the single choice of a completion: the whole message, or its next part in a stream.
 type Choice struct {
 	Message *Message `json:"message,omitempty"`
 	Delta   *Message `json:"delta,omitempty"`
 }
 
-// Message is a text.
+// Message is a chat message.
 type Message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, f Faults, model string, words []string) {
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, f Faults, model string, words []string) {
 	if !e.generate(r.Context(), len(words)) {
 		return
 	}
 	body, err := json.Marshal(Completion{"chat.completion", model, []Choice{{Message: &Message{"assistant", strings.Join(words, " ")}}}})
 	if err != nil {
-		breakOff()
+		abortConnection()
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 	if f.DisconnectAfter > 0 && f.DisconnectAfter < len(body) {
 		_, _ = w.Write(body[:f.DisconnectAfter])
 		_ = http.NewResponseController(w).Flush()
-		breakOff()
+		abortConnection()
 	}
 	_, _ = w.Write(body)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, f Faults, model string, words []string) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, f Faults, model string, words []string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	sent := 0
-	for i := e.resumeAt(r, len(words)); i < len(words); i++ {
+	for i := e.resumeIndex(r, len(words)); i < len(words); i++ {
 		if !e.generate(r.Context(), 1) {
 			return
 		}
 		data, err := json.Marshal(Completion{"chat.completion.chunk", model, []Choice{{Delta: &Message{Content: words[i] + " "}}}})
 		if err != nil {
-			breakOff()
+			abortConnection()
 		}
 		id := ""
 		if e.opts.ResumesStreams {
@@ -214,11 +214,11 @@
 		n, _ := fmt.Fprintf(w, "%sdata: %s\n\n", id, data)
 		_ = flush.Flush()
 		if sent += n; f.DisconnectAfter > 0 && sent >= f.DisconnectAfter {
-			breakOff()
+			abortConnection()
 		}
 		if f.StallAfter > 0 && sent >= f.StallAfter {
 			<-r.Context().Done()
-			e.cancelled()
+			e.recordCancelled()
 			return
 		}
 	}
@@ -228,14 +228,14 @@
 	fmt.Fprintf(w, "%s\n\n", engine.StreamDone)
 }
 
-// resumeAt returns the index of the first word that the request still wants.
-func (e *Engine) resumeAt(r *http.Request, words int) int {
-	at, err := strconv.Atoi(r.Header.Get(engine.HeaderLastEvent))
-	if !e.opts.ResumesStreams || err != nil || at < 0 || at > words {
+// resumeIndex returns the index of the first word to send, which follows the event named in Last-Event-Id.
+func (e *Engine) resumeIndex(r *http.Request, words int) int {
+	index, err := strconv.Atoi(r.Header.Get(engine.HeaderLastEvent))
+	if !e.opts.ResumesStreams || err != nil || index < 0 || index > words {
 		return 0
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account.Resumed++
-	return at
+	e.stats.Resumed++
+	return index
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,46 +15,46 @@
 	"leverdrum/engine"
 )
 
-// EngineOptions describe a model server.
+// EngineOptions describes a model server.
 type EngineOptions struct {
 	Accelerators int
-	Memory       uint64 // bytes of one accelerator that models may take
+	Memory       uint64 // usable bytes per accelerator
 	ChecksFences bool
 	Concurrency  int
 	TokenTime    time.Duration
 	LoadTime     time.Duration
-	// PrefillTimePerByte is the time of reading one byte of a prompt that is not among
-	// the Prefixes message ends that the server keeps.
+	// PrefillTimePerByte is the prefill time of one prompt byte that is not covered by the cache, which holds
+	// CachedPrefixes prefix ends.
 	PrefillTimePerByte time.Duration
 	CachedPrefixes     int
-	// ResumesStreams numbers the events of streams and goes on behind Last-Event-Id.
+	// ResumesStreams numbers the events of streams and continues a stream after its Last-Event-Id.
 	ResumesStreams bool
-	// StoreAddress is the weight store's address, "" for none.
+	// StoreAddress is the address of the weight store, "" for none.
 	StoreAddress string
 }
 
-// EngineStats is what the server itself saw.
+// EngineStats counts what the server observed.
 type EngineStats struct {
-	// Overcommits counts the moments at which an accelerator held more than it has.
+	// Overcommits counts the times that the residents of an accelerator exceeded its memory.
 	Overcommits int `json:"overcommits"`
-	// Peak is the most bytes that an accelerator held.
+	// Peak is the highest number of bytes in use on one accelerator.
 	Peak      uint64         `json:"peak"`
 	Orders    int            `json:"orders"`
-	Runs      map[string]int `json:"ran"` // by request id
+	Runs      map[string]int `json:"ran"` // by request ID
 	Cancelled int            `json:"cancelled"`
-	// Resumed counts streams that began at another server.
+	// Resumed counts streams that were started by another server.
 	Resumed     int `json:"resumed"`
-	NotResident int `json:"missing"` // requests for what was not resident
+	NotResident int `json:"missing"` // requests for models and adapters that were not resident
 }
 
-// Engine is a model server. It implements http.Handler.
+// Engine is a simulated model server. It implements http.Handler.
 type Engine struct {
-	faults
+	faultInjector
 	opts        EngineOptions
 	mux         *http.ServeMux
 	slots       chan struct{}
 	incarnation string
-	prefixes    *prefixes
+	prefixes    *prefixCache
 
 	mu        sync.Mutex
 	residents map[string]*engine.Resident
@@ -62,21 +62,21 @@
 	outcomes  map[uint64]engine.Outcome
 	running   int
 	waiting   int
-	account   EngineStats
+	stats     EngineStats
 }
 
 func engineFlags(f *flag.FlagSet) func() http.Handler {
 	var o EngineOptions
-	memory := f.String("memory", "64GiB", "usable memory of one accelerator")
-	f.IntVar(&o.Accelerators, "accelerators", 1, "accelerators")
-	f.BoolVar(&o.ChecksFences, "checks-fences", true, "refuse orders behind a newer one")
-	f.IntVar(&o.Concurrency, "concurrency", 16, "requests at once")
-	f.DurationVar(&o.TokenTime, "token-time", time.Millisecond, "time of one token")
-	f.DurationVar(&o.LoadTime, "load-time", 50*time.Millisecond, "time of one load without a store")
-	f.DurationVar(&o.PrefillTimePerByte, "prefill-byte", 0, "time of reading one byte of a prompt that is not kept")
-	f.IntVar(&o.CachedPrefixes, "prefixes", 1000, "prompt messages that are kept")
-	f.BoolVar(&o.ResumesStreams, "resumes-streams", true, "number the events of streams and go on with streams of others")
-	said := selfFlags(f)
+	memory := f.String("memory", "64GiB", "usable memory per accelerator")
+	f.IntVar(&o.Accelerators, "accelerators", 1, "number of accelerators")
+	f.BoolVar(&o.ChecksFences, "checks-fences", true, "reject orders with a fence older than the newest one")
+	f.IntVar(&o.Concurrency, "concurrency", 16, "maximum number of concurrent requests")
+	f.DurationVar(&o.TokenTime, "token-time", time.Millisecond, "generation time per token")
+	f.DurationVar(&o.LoadTime, "load-time", 50*time.Millisecond, "load time if no weight store is set")
+	f.DurationVar(&o.PrefillTimePerByte, "prefill-byte", 0, "prefill time per prompt byte that is not cached")
+	f.IntVar(&o.CachedPrefixes, "prefixes", 1000, "number of cached prompt prefixes")
+	f.BoolVar(&o.ResumesStreams, "resumes-streams", true, "number stream events and resume streams of other servers")
+	initialFaults := faultFlags(f)
 	f.StringVar(&o.StoreAddress, "store", "", "address of the weight store")
 	return func() http.Handler {
 		n, err := humanize.ParseBytes(*memory)
@@ -85,36 +85,36 @@
 		}
 		o.Memory = n
 		e := NewEngine(o)
-		e.SetFaults(*said)
+		e.SetFaults(*initialFaults)
 		return e
 	}
 }
 
-// NewEngine returns a model server that holds nothing.
+// NewEngine returns a model server without residents.
 func NewEngine(o EngineOptions) *Engine {
 	e := &Engine{
 		opts: o, mux: http.NewServeMux(), slots: make(chan struct{}, o.Concurrency), incarnation: rand.Text(),
-		prefixes:  newPrefixes(o.CachedPrefixes, o.PrefillTimePerByte),
-		residents: map[string]*engine.Resident{}, outcomes: map[uint64]engine.Outcome{}, account: EngineStats{Runs: map[string]int{}},
+		prefixes:  newPrefixCache(o.CachedPrefixes, o.PrefillTimePerByte),
+		residents: map[string]*engine.Resident{}, outcomes: map[uint64]engine.Outcome{}, stats: EngineStats{Runs: map[string]int{}},
 	}
 	e.mux.HandleFunc("GET "+engine.StatePath, e.state)
 	e.mux.HandleFunc("POST "+engine.OrderPath, e.order)
 	e.mux.HandleFunc("POST "+engine.ChatPath, e.chat)
-	e.mux.HandleFunc("PUT "+FaultsPath, e.handle)
-	e.mux.HandleFunc("GET "+AccountPath, func(w http.ResponseWriter, _ *http.Request) { answerJSON(w, http.StatusOK, e.Stats()) })
+	e.mux.HandleFunc("PUT "+FaultsPath, e.serveFaults)
+	e.mux.HandleFunc("GET "+AccountPath, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, e.Stats()) })
 	return e
 }
 
-// ServeHTTP serves the protocol.
+// ServeHTTP serves the model server protocol.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// Stats returns what the server saw so far.
+// Stats returns a copy of the counters.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a := e.account
-	a.Runs = make(map[string]int, len(e.account.Runs))
-	for k, v := range e.account.Runs {
+	a := e.stats
+	a.Runs = make(map[string]int, len(e.stats.Runs))
+	for k, v := range e.stats.Runs {
 		a.Runs[k] = v
 	}
 	return a
@@ -122,15 +122,15 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := engine.State{Incarnation: e.incarnation, Draining: e.get().Draining, Fence: e.fence, Running: e.running, Waiting: e.waiting, Residents: []engine.Resident{}}
+	s := engine.State{Incarnation: e.incarnation, Draining: e.current().Draining, Fence: e.fence, Running: e.running, Waiting: e.waiting, Residents: []engine.Resident{}}
 	for _, r := range e.residents {
 		s.Residents = append(s.Residents, *r)
 	}
 	e.mu.Unlock()
-	answerJSON(w, http.StatusOK, s)
+	writeJSON(w, http.StatusOK, s)
 }
 
-func keyOf(accelerator uint32, model, adapter, version string) string {
+func residentKey(accelerator uint32, model, adapter, version string) string {
 	return fmt.Sprintf("%d/%s/%s/%s", accelerator, model, adapter, version)
 }
 
@@ -140,24 +140,24 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := e.get()
+	f := e.current()
 	time.Sleep(time.Duration(f.OrderDelayMs) * time.Millisecond)
-	out := e.carryOut(o)
+	out := e.executeOrder(o)
 	if f.DropOrderResponses {
-		breakOff()
+		abortConnection()
 	}
 	status := http.StatusOK
 	if !out.Done {
 		status = http.StatusConflict
 	}
-	answerJSON(w, status, out)
+	writeJSON(w, status, out)
 }
 
-// carryOut runs an order. With fences, one that was seen gets its first answer
-// and one behind a newer one is refused; without, everything runs as it comes.
-func (e *Engine) carryOut(o *engine.Order) engine.Outcome {
+// executeOrder executes an order. If fences are checked, a repeated order gets its first outcome and an order with a fence
+// older than the newest one or for another incarnation is rejected; otherwise every order is executed on arrival.
+func (e *Engine) executeOrder(o *engine.Order) engine.Outcome {
 	e.mu.Lock()
-	e.account.Orders++
+	e.stats.Orders++
 	if e.opts.ChecksFences {
 		if out, seen := e.outcomes[o.ID]; seen {
 			e.mu.Unlock()
@@ -165,28 +165,28 @@
 		}
 		if o.ID < e.fence || o.Incarnation != e.incarnation {
 			e.mu.Unlock()
-			return engine.Outcome{Detail: "behind a newer order or for another incarnation"}
+			return engine.Outcome{Detail: "the fence is older than the newest one, or the order is for another incarnation"}
 		}
 		e.fence = o.ID
 	}
 	var out engine.Outcome
-	key := keyOf(o.Accelerator, o.Model, o.Adapter, o.Version)
+	key := residentKey(o.Accelerator, o.Model, o.Adapter, o.Version)
 	if o.Action == engine.Unload {
-		_, held := e.residents[key]
+		_, resident := e.residents[key]
 		delete(e.residents, key)
-		out = engine.Outcome{Done: held, Detail: "unload"}
+		out = engine.Outcome{Done: resident, Detail: "unload"}
 		e.outcomes[o.ID] = out
 		e.mu.Unlock()
 		return out
 	}
 	e.residents[key] = &engine.Resident{Accelerator: o.Accelerator, Model: o.Model, Adapter: o.Adapter, Version: o.Version, Memory: o.Memory, Loading: true}
-	e.audit()
+	e.recordMemoryUse()
 	e.mu.Unlock()
-	return e.load(o, key)
+	return e.finishLoad(o, key)
 }
 
-func (e *Engine) load(o *engine.Order, key string) engine.Outcome {
-	ok := e.fetch(o)
+func (e *Engine) finishLoad(o *engine.Order, key string) engine.Outcome {
+	ok := e.fetchWeights(o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := engine.Outcome{Done: ok, Detail: "load"}
@@ -200,8 +200,8 @@
 	return out
 }
 
-// fetch gets the weights.
-func (e *Engine) fetch(o *engine.Order) bool {
+// fetchWeights downloads the weights from the store, or waits for the load time if there is none.
+func (e *Engine) fetchWeights(o *engine.Order) bool {
 	if e.opts.StoreAddress == "" {
 		time.Sleep(e.opts.LoadTime)
 		return true
@@ -219,16 +219,16 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// audit counts an accelerator that holds more than it has.
-func (e *Engine) audit() {
+// recordMemoryUse updates the peak and counts accelerators that hold more than their memory.
+func (e *Engine) recordMemoryUse() {
 	sums := map[uint32]uint64{}
 	for _, r := range e.residents {
 		sums[r.Accelerator] += r.Memory
 	}
 	for _, sum := range sums {
-		e.account.Peak = max(e.account.Peak, sum)
+		e.stats.Peak = max(e.stats.Peak, sum)
 		if sum > e.opts.Memory {
-			e.account.Overcommits++
+			e.stats.Overcommits++
 		}
 	}
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -8,28 +8,28 @@
 	"leverdrum/platform"
 )
 
-// Platform is the platform's list. PUT replaces it. It implements http.Handler.
+// Platform serves the platform's machine list; PUT replaces it. It implements http.Handler.
 type Platform struct {
 	mu   sync.Mutex
 	list []platform.Machine
 }
 
-// NewPlatform returns an empty list.
+// NewPlatform returns a platform with an empty machine list.
 func NewPlatform() *Platform { return &Platform{list: []platform.Machine{}} }
 
-// Replace replaces the list.
+// Replace replaces the machine list.
 func (p *Platform) Replace(list []platform.Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list = list
 }
 
-// ServeHTTP serves the list.
+// ServeHTTP returns the machine list for GET and replaces it otherwise.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.Method == http.MethodGet {
-		answerJSON(w, http.StatusOK, p.list)
+		writeJSON(w, http.StatusOK, p.list)
 		return
 	}
 	var list []platform.Machine
--- a/standin/prefix.go
+++ b/standin/prefix.go
@@ -9,41 +9,40 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// prefixes stands for an engine's cache of prompt prefixes: what a prompt shares
-// with an earlier one, message by message, need not be read again.
-type prefixes struct {
+// prefixCache simulates a model server's cache of prompt prefixes. Messages that a prompt shares with the beginning of an
+// earlier one need no prefill.
+type prefixCache struct {
 	perByte time.Duration
 	mu      sync.Mutex
-	kept    *lru.Cache[uint64, struct{}]
+	ends    *lru.Cache[uint64, struct{}]
 }
 
-// newPrefixes returns a cache of so many messages' ends; reading one byte of a
-// prompt takes perByte.
-func newPrefixes(size int, perByte time.Duration) *prefixes {
-	kept, err := lru.New[uint64, struct{}](max(1, size))
+// newPrefixCache returns a cache of size prefix ends, one per message. The prefill of one prompt byte takes perByte.
+func newPrefixCache(size int, perByte time.Duration) *prefixCache {
+	ends, err := lru.New[uint64, struct{}](max(1, size))
 	if err != nil {
 		panic(err)
 	}
-	return &prefixes{perByte: perByte, kept: kept}
+	return &prefixCache{perByte: perByte, ends: ends}
 }
 
-// read returns how long the reading of a prompt takes, and keeps it.
-func (p *prefixes) read(model string, messages []json.RawMessage) time.Duration {
+// prefill returns the prefill time of a prompt and adds the prompt to the cache.
+func (p *prefixCache) prefill(model string, messages []json.RawMessage) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := fnv.New64a()
 	h.Write([]byte(model))
-	took := time.Duration(0)
+	duration := time.Duration(0)
 	cached := true
 	for _, m := range messages {
 		h.Write(m)
-		if end := h.Sum64(); !cached || !p.kept.Contains(end) {
+		if end := h.Sum64(); !cached || !p.ends.Contains(end) {
 			cached = false
-			took += time.Duration(len(m)) * p.perByte
-			p.kept.Add(end, struct{}{})
+			duration += time.Duration(len(m)) * p.perByte
+			p.ends.Add(end, struct{}{})
 		} else {
-			p.kept.Get(end)
+			p.ends.Get(end)
 		}
 	}
-	return took
+	return duration
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,75 +12,74 @@
 	"leverdrum/engine"
 )
 
-// ServiceStats is what the service itself saw.
+// ServiceStats counts what the service observed.
 type ServiceStats struct {
-	// Runs counts executions by key, or by request id where there is no key.
+	// Runs counts executions by key, or by request ID if there is no key.
 	Runs map[string]int `json:"ran"`
 }
 
-// ServiceResponse is the only right answer of a service to a call.
+// ServiceResponse is the only correct response of a service to a call.
 type ServiceResponse struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Body    string `json:"body"`
 	Key     string `json:"key"`
-	// Run counts the executions under the key so far.
+	// Run is the number of executions under the key so far, including this one.
 	Run int `json:"run"`
 }
 
-// Service is a plain service. It implements http.Handler.
+// Service is a simulated plain service. It implements http.Handler.
 type Service struct {
-	faults
+	faultInjector
 	name      string
 	keyHeader string
-	took      time.Duration
+	callTime  time.Duration
 
-	mu  sync.Mutex
-	ran map[string]int
+	mu   sync.Mutex
+	runs map[string]int
 }
 
 func serviceFlags(f *flag.FlagSet) func() http.Handler {
-	name := f.String("name", "service", "name in answers")
-	key := f.String("key-header", "Idempotency-Key", "header with the key")
-	took := f.Duration("time", time.Millisecond, "time of one call")
-	said := selfFlags(f)
+	name := f.String("name", "service", "service name in responses")
+	key := f.String("key-header", "Idempotency-Key", "header that holds the key")
+	callTime := f.Duration("time", time.Millisecond, "execution time per call")
+	initialFaults := faultFlags(f)
 	return func() http.Handler {
-		s := NewService(*name, *key, *took)
-		s.SetFaults(*said)
+		s := NewService(*name, *key, *callTime)
+		s.SetFaults(*initialFaults)
 		return s
 	}
 }
 
-// NewService returns a service.
-func NewService(name, keyHeader string, took time.Duration) *Service {
-	return &Service{name: name, keyHeader: keyHeader, took: took, ran: map[string]int{}}
+func NewService(name, keyHeader string, callTime time.Duration) *Service {
+	return &Service{name: name, keyHeader: keyHeader, callTime: callTime, runs: map[string]int{}}
 }
 
-// Stats returns what the service saw so far.
+// Stats returns a copy of the counters.
 func (s *Service) Stats() ServiceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := ServiceStats{Runs: make(map[string]int, len(s.ran))}
-	for k, v := range s.ran {
+	a := ServiceStats{Runs: make(map[string]int, len(s.runs))}
+	for k, v := range s.runs {
 		a.Runs[k] = v
 	}
 	return a
 }
 
-// ServeHTTP runs a call.
+// ServeHTTP executes a call, sets the faults or returns the statistics.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case FaultsPath:
-		s.handle(w, r)
+		s.serveFaults(w, r)
 		return
 	case AccountPath:
-		answerJSON(w, http.StatusOK, s.Stats())
+		writeJSON(w, http.StatusOK, s.Stats())
 		return
 	}
-	f := s.next()
-	f.speak(w)
-	if f.refuses() {
+	f := s.nextRequest()
+	f.setHeaders(w)
+	if f.rejects() {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
@@ -89,17 +88,17 @@
 	if err != nil {
 		return
 	}
-	answer := s.run(r, body)
-	time.Sleep(s.took + time.Duration(f.DelayMs)*time.Millisecond)
+	response := s.run(r, body)
+	time.Sleep(s.callTime + time.Duration(f.DelayMs)*time.Millisecond)
 	if f.DisconnectBeforeResponse {
-		breakOff()
+		abortConnection()
 	}
 	w.Header().Set(engine.HeaderAttemptID, r.Header.Get(engine.HeaderAttemptID))
 	if f.Status != 0 {
 		http.Error(w, "failed", f.Status)
 		return
 	}
-	answerJSON(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, response)
 }
 
 func (s *Service) run(r *http.Request, body []byte) ServiceResponse {
@@ -109,37 +108,36 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran[key]++
-	return ServiceResponse{s.name, r.Method, r.URL.RequestURI(), string(body), key, s.ran[key]}
+	s.runs[key]++
+	return ServiceResponse{s.name, r.Method, r.URL.RequestURI(), string(body), key, s.runs[key]}
 }
 
-// Store is the weight store. It implements http.Handler.
+// Store is a simulated weight store. It implements http.Handler.
 type Store struct {
-	took  time.Duration
-	every time.Duration
-	slots chan struct{}
-	mu    sync.Mutex
-	next  time.Time
+	loadTime  time.Duration
+	interval  time.Duration
+	slots     chan struct{}
+	mu        sync.Mutex
+	nextStart time.Time
 }
 
-// NewStore returns a store that begins rate loads a second and serves atOnce of
-// them at full speed.
-func NewStore(rate float64, atOnce int, took time.Duration) *Store {
-	return &Store{took: took, every: time.Duration(float64(time.Second) / rate), slots: make(chan struct{}, atOnce)}
+// NewStore returns a store that starts rate loads a second and serves at most concurrency of them at once, each in loadTime.
+func NewStore(rate float64, concurrency int, loadTime time.Duration) *Store {
+	return &Store{loadTime: loadTime, interval: time.Duration(float64(time.Second) / rate), slots: make(chan struct{}, concurrency)}
 }
 
-// ServeHTTP serves one load when its turn has come.
+// ServeHTTP serves one load after it has waited for a slot and its start time.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	s.mu.Lock()
 	now := time.Now()
-	at := s.next
-	if at.Before(now) {
-		at = now
+	start := s.nextStart
+	if start.Before(now) {
+		start = now
 	}
-	s.next = at.Add(s.every)
+	s.nextStart = start.Add(s.interval)
 	s.mu.Unlock()
-	time.Sleep(time.Until(at) + s.took)
+	time.Sleep(time.Until(start) + s.loadTime)
 	fmt.Fprintln(w, "weights of", r.URL.Path)
 }
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,7 +1,6 @@
-// Package standin stands in for the systems around leverdrum: model servers,
-// plain services, the weight store and the platform's list. Each keeps its own
-// account of what happened to it, by which tests judge leverdrum, and can be
-// told to misbehave.
+// Package standin provides test doubles of the systems around leverdrum: model servers, plain services, the weight store
+// and the platform's machine list. Model servers and services count what happened to them, so that tests can check
+// leverdrum, and can inject faults.
 package standin
 
 import (
@@ -21,87 +20,87 @@
 	"leverdrum/dialect"
 )
 
-// FaultsPath takes a Faults by PUT; AccountPath answers the account by GET.
+// FaultsPath accepts Faults by PUT. AccountPath returns the statistics by GET.
 const (
 	FaultsPath  = "/faults"
 	AccountPath = "/account"
 )
 
-// Faults are the ways to misbehave. Zero values mean to behave.
+// Faults are the faults to inject. The zero value injects none.
 type Faults struct {
-	// DelayMs holds up each answer, in milliseconds.
+	// DelayMs delays each response, in milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// DisconnectAfter closes the connection after so many bytes of an answer's body.
+	// DisconnectAfter closes the connection after this many bytes of the response body.
 	DisconnectAfter int `json:"break_after"`
-	// Status, unless 0, answers requests that ran with this status at once.
+	// Status, if not 0, is returned at once for requests that were run.
 	Status int `json:"status"`
-	// EveryNth makes only each n-th request misbehave; 0 means each one.
+	// EveryNth applies the faults to every n-th request only; 0 means to every request.
 	EveryNth int `json:"every"`
-	// StallAfter says nothing more after so many bytes of a stream.
+	// StallAfter stops sending after this many bytes of a stream, without closing it.
 	StallAfter int `json:"stall_after"`
-	// DisconnectBeforeResponse closes the connection after a request ran, before its answer.
+	// DisconnectBeforeResponse closes the connection after the request was run and before the response.
 	DisconnectBeforeResponse bool `json:"break_before"`
 	// OmitLastEvent ends streams cleanly but without their last event.
 	OmitLastEvent bool `json:"no_last_event"`
-	// Refuse answers 503 with the word that nothing was run.
+	// Refuse answers 503 with the header that says that the request was not run.
 	Refuse bool `json:"refuse"`
-	// WrongID answers with the id of another attempt.
+	// WrongID returns the ID of another attempt.
 	WrongID bool `json:"wrong_id"`
-	// Draining makes a model server say that it leaves.
+	// Draining makes a model server report that it is draining.
 	Draining bool `json:"leaving"`
-	// DropOrderResponses runs orders and closes the connection without an answer.
+	// DropOrderResponses executes orders and closes the connection without a response.
 	DropOrderResponses bool `json:"lose_order_answers"`
-	// Limit is what answers name as the requests a second that the server takes from all boxes; "": none.
+	// Limit is the limit in responses: the requests a second that the server accepts from all boxes; "" for none.
 	Limit string `json:"limit"`
-	// RetryAfter is the Retry-After with which requests are turned away, 503 and not run; "": none is.
+	// RetryAfter rejects requests with 503, not run and this Retry-After; "" rejects none.
 	RetryAfter string `json:"rest"`
-	// DrainingHeader has answers say that the server is about to end.
+	// DrainingHeader makes responses say that the server is draining.
 	DrainingHeader bool `json:"drains"`
-	// OrderDelayMs holds up orders before they run, in milliseconds.
+	// OrderDelayMs delays the execution of orders, in milliseconds.
 	OrderDelayMs int `json:"order_delay_ms"`
 }
 
-type faults struct {
-	mu    sync.Mutex
-	now   Faults
-	count int // of requests
-	came  []time.Time
+type faultInjector struct {
+	mu       sync.Mutex
+	active   Faults
+	count    int // requests so far
+	arrivals []time.Time
 }
 
-func (f *faults) get() Faults {
+func (f *faultInjector) current() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.active
 }
 
-// next returns the faults of the next request.
-func (f *faults) next() Faults {
+// nextRequest counts a request and returns the faults that apply to it.
+func (f *faultInjector) nextRequest() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.count++
-	f.came = append(f.came, time.Now())
-	if f.now.EveryNth > 1 && f.count%f.now.EveryNth != 0 {
-		return Faults{Draining: f.now.Draining, Limit: f.now.Limit, DrainingHeader: f.now.DrainingHeader}
+	f.arrivals = append(f.arrivals, time.Now())
+	if f.active.EveryNth > 1 && f.count%f.active.EveryNth != 0 {
+		return Faults{Draining: f.active.Draining, Limit: f.active.Limit, DrainingHeader: f.active.DrainingHeader}
 	}
-	return f.now
+	return f.active
 }
 
 // SetFaults replaces the faults.
-func (f *faults) SetFaults(v Faults) {
+func (f *faultInjector) SetFaults(v Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = v
+	f.active = v
 }
 
-// ArrivalTimes returns when requests came, orders and readings of its state aside.
-func (f *faults) ArrivalTimes() []time.Time {
+// ArrivalTimes returns the arrival times of requests, without orders and state queries.
+func (f *faultInjector) ArrivalTimes() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]time.Time(nil), f.came...)
+	return append([]time.Time(nil), f.arrivals...)
 }
 
-// speak has an answer say what the server says of itself.
-func (f Faults) speak(w http.ResponseWriter) {
+// setHeaders sets the response headers by which the server reports its limit, draining and backoff.
+func (f Faults) setHeaders(w http.ResponseWriter) {
 	if f.Limit != "" {
 		w.Header().Set(dialect.Native.Limit, f.Limit)
 	}
@@ -113,10 +112,10 @@
 	}
 }
 
-// refuses reports whether requests are turned away.
-func (f Faults) refuses() bool { return f.Refuse || f.RetryAfter != "" }
+// rejects reports whether requests are rejected.
+func (f Faults) rejects() bool { return f.Refuse || f.RetryAfter != "" }
 
-func (f *faults) handle(w http.ResponseWriter, r *http.Request) {
+func (f *faultInjector) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var v Faults
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -125,46 +124,46 @@
 	f.SetFaults(v)
 }
 
-func answerJSON(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// breakOff closes the connection without the end of the answer.
-func breakOff() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without completing the response.
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-// Main runs one stand-in until it is stopped, and returns the exit status.
+// Main runs the command line until the command ends or is stopped, and returns the exit status.
 func Main() int {
 	commander := subcommands.NewCommander(flag.CommandLine, "standin")
 	commander.Register(commander.HelpCommand(), "")
-	commander.Register(&serveCommand{name: "engine", about: "a model server", make: engineFlags}, "")
-	commander.Register(&serveCommand{name: "service", about: "a plain service", make: serviceFlags}, "")
-	commander.Register(&serveCommand{name: "store", about: "the weight store", make: storeFlags}, "")
+	commander.Register(&serveCommand{name: "engine", synopsis: "a model server", make: engineFlags}, "")
+	commander.Register(&serveCommand{name: "service", synopsis: "a plain service", make: serviceFlags}, "")
+	commander.Register(&serveCommand{name: "store", synopsis: "the weight store", make: storeFlags}, "")
 	commander.Register(&verifyCommand{}, "")
-	commander.Register(&serveCommand{name: "platform", about: "the platform's list", make: platformFlags}, "")
+	commander.Register(&serveCommand{name: "platform", synopsis: "the platform's machine list", make: platformFlags}, "")
 	flag.Parse()
 	return int(commander.Execute(context.Background()))
 }
 
-// serveCommand runs one kind of stand-in.
+// serveCommand runs one kind of simulated server.
 type serveCommand struct {
-	name, about string
-	make        func(f *flag.FlagSet) func() http.Handler
-	build       func() http.Handler
-	listen      string
+	name, synopsis string
+	make           func(f *flag.FlagSet) func() http.Handler
+	newHandler     func() http.Handler
+	listen         string
 }
 
 func (c *serveCommand) Name() string     { return c.name }
-func (c *serveCommand) Synopsis() string { return c.about }
+func (c *serveCommand) Synopsis() string { return c.synopsis }
 func (c *serveCommand) Usage() string    { return c.name + " -listen ADDRESS …\n" }
 func (c *serveCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.listen, "listen", "127.0.0.1:0", "address to listen on")
-	c.build = c.make(f)
+	c.newHandler = c.make(f)
 }
 
 func (c *serveCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	s := &http.Server{Addr: c.listen, Handler: c.build(), ReadHeaderTimeout: 5 * time.Second}
+	s := &http.Server{Addr: c.listen, Handler: c.newHandler(), ReadHeaderTimeout: 5 * time.Second}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
@@ -178,21 +177,21 @@
 	return subcommands.ExitSuccess
 }
 
-// selfFlags tell what a stand-in says of itself.
-func selfFlags(f *flag.FlagSet) *Faults {
-	said := &Faults{}
-	f.StringVar(&said.Limit, "limit", "", "requests a second that answers name as what the server takes from all boxes")
-	f.StringVar(&said.RetryAfter, "rest", "", "Retry-After with which requests are turned away")
-	f.IntVar(&said.EveryNth, "every", 0, "turn away each n-th request only; 0: all")
-	f.BoolVar(&said.DrainingHeader, "drains", false, "say in answers that the server is about to end")
-	return said
+// faultFlags defines the flags of the faults that a server starts with.
+func faultFlags(f *flag.FlagSet) *Faults {
+	initial := &Faults{}
+	f.StringVar(&initial.Limit, "limit", "", "limit in responses: requests a second that the server accepts from all boxes")
+	f.StringVar(&initial.RetryAfter, "rest", "", "Retry-After with which requests are rejected")
+	f.IntVar(&initial.EveryNth, "every", 0, "reject every n-th request only; 0: all")
+	f.BoolVar(&initial.DrainingHeader, "drains", false, "say in responses that the server is draining")
+	return initial
 }
 
 func storeFlags(f *flag.FlagSet) func() http.Handler {
-	perSecond := f.Float64("rate", 2, "loads a second")
-	atOnce := f.Int("at-once", 8, "loads at once")
-	took := f.Duration("time", 200*time.Millisecond, "time of one load")
-	return func() http.Handler { return NewStore(*perSecond, *atOnce, *took) }
+	perSecond := f.Float64("rate", 2, "loads started per second")
+	concurrency := f.Int("at-once", 8, "maximum number of concurrent loads")
+	loadTime := f.Duration("time", 200*time.Millisecond, "duration of one load")
+	return func() http.Handler { return NewStore(*perSecond, *concurrency, *loadTime) }
 }
 
 func platformFlags(*flag.FlagSet) func() http.Handler {
--- a/standin/verify.go
+++ b/standin/verify.go
@@ -18,8 +18,7 @@
 	"leverdrum/engine"
 )
 
-// verifyCommand sends each kind of request through each entry box and compares
-// the answers with the only right ones.
+// verifyCommand sends each kind of request through each entry box and compares the responses with the expected ones.
 type verifyCommand struct {
 	entries, models, service string
 	wait                     time.Duration
@@ -27,7 +26,7 @@
 
 func (*verifyCommand) Name() string { return "verify" }
 func (*verifyCommand) Synopsis() string {
-	return "send requests through entry boxes and check the answers"
+	return "send requests through entry boxes and check the responses"
 }
 func (*verifyCommand) Usage() string {
 	return "verify -entries ADDRESSES -models MODEL@VERSION,… -service NAME\n"
@@ -35,13 +34,13 @@
 func (c *verifyCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.entries, "entries", "", "addresses of entry boxes, separated by commas")
 	f.StringVar(&c.models, "models", "", "models and adapters with their versions")
-	f.StringVar(&c.service, "service", "", "a service")
+	f.StringVar(&c.service, "service", "", "name of a service")
 	f.DurationVar(&c.wait, "wait", 30*time.Second, "how long a model may take to become ready")
 }
 
 func (c *verifyCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	for entry := range strings.SplitSeq(c.entries, ",") {
-		if err := c.box(ctx, entry); err != nil {
+		if err := c.verifyEntry(ctx, entry); err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", entry, err)
 			return subcommands.ExitFailure
 		}
@@ -49,7 +48,7 @@
 	return subcommands.ExitSuccess
 }
 
-func (c *verifyCommand) box(ctx context.Context, entry string) error {
+func (c *verifyCommand) verifyEntry(ctx context.Context, entry string) error {
 	for item := range strings.SplitSeq(c.models, ",") {
 		model, version, _ := strings.Cut(item, "@")
 		if err := c.awaitReady(ctx, entry, model); err != nil {
@@ -65,7 +64,7 @@
 	return verifyService(entry, c.service)
 }
 
-// awaitReady asks until the model is answered for; a refusal says so at once.
+// awaitReady sends requests, which create demand, until the model responds with 200.
 func (c *verifyCommand) awaitReady(ctx context.Context, entry, model string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
@@ -79,7 +78,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("model %s is not ready in time", model)
+			return fmt.Errorf("model %s was not ready in time", model)
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
@@ -107,7 +106,7 @@
 	return nil
 }
 
-// readCompletion returns the text of an answer, and an error if it is not whole.
+// readCompletion returns the text of a response, and an error if the response is incomplete.
 func readCompletion(r io.Reader, stream bool) (string, error) {
 	if !stream {
 		var c Completion
@@ -115,15 +114,14 @@
 			return "", err
 		}
 		if len(c.Choices) != 1 || c.Choices[0].Message == nil {
-			return "", fmt.Errorf("an answer without its choice")
+			return "", fmt.Errorf("the completion does not have exactly one choice with a message")
 		}
 		return c.Choices[0].Message.Content, nil
 	}
 	return ReadStream(r)
 }
 
-// ReadStream returns the text of a stream of events, and an error if it broke
-// off or lacks its last event.
+// ReadStream returns the text of an event stream, and an error if the stream broke off or lacks its last event.
 func ReadStream(r io.Reader) (string, error) {
 	var text strings.Builder
 	done := false
@@ -137,7 +135,7 @@
 		case ok:
 			var c Completion
 			if err := json.Unmarshal([]byte(data), &c); err != nil || len(c.Choices) != 1 || c.Choices[0].Delta == nil {
-				return text.String(), fmt.Errorf("an event that is no part of an answer: %s", data)
+				return text.String(), fmt.Errorf("the event is not a completion chunk: %s", data)
 			}
 			text.WriteString(c.Choices[0].Delta.Content)
 		}
@@ -146,7 +144,7 @@
 		return text.String(), err
 	}
 	if !done {
-		return text.String(), fmt.Errorf("a stream without its last event")
+		return text.String(), fmt.Errorf("the stream ended without its last event")
 	}
 	return strings.TrimSpace(text.String()), nil
 }
