--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -17,67 +17,66 @@
 )
 
 const (
-	models  = 7
-	events  = 6 // of an answer
-	callers = 8
-	// applyBound is how long after its acknowledgement a configuration may still not
-	// be read back from every box.
-	applyBound = 2 * time.Second
+	modelCount  = 7
+	eventCount  = 6 // per response
+	callerCount = 8
+	// maxApplyDelay is the maximum time from the acknowledgement of a configuration until every box returns it.
+	maxApplyDelay = 2 * time.Second
 )
 
-// caller sends requests one after another and keeps its connections open.
+// caller sends requests one after another over persistent connections.
 type caller struct {
-	w      *world
+	h      *harness
 	number int
 	random *rand.Rand
 	client *http.Client
 
-	mu      sync.Mutex
-	unsafe  []string // ids that may run once
-	refused []string // ids that were said not to have run
-	served  int
+	mu         sync.Mutex
+	unsafeIDs  []string // IDs of requests that may run at most once
+	refusedIDs []string // IDs of requests that were reported as not run
+	served     int
 }
 
-func newCaller(w *world, number int) *caller {
+func newCaller(h *harness, number int) *caller {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 4, ResponseHeaderTimeout: 6 * time.Second}
-	return &caller{w: w, number: number, random: rand.New(rand.NewPCG(w.seed, uint64(1000+number))), client: &http.Client{Transport: transport}}
+	return &caller{h: h, number: number, random: rand.New(rand.NewPCG(h.seed, uint64(1000+number))), client: &http.Client{Transport: transport}}
 }
 
 func (c *caller) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		box := c.w.boxes[c.random.IntN(len(c.w.boxes))]
-		model := fmt.Sprint("m", c.random.IntN(models))
+		box := c.h.boxes[c.random.IntN(len(c.h.boxes))]
+		model := fmt.Sprint("m", c.random.IntN(modelCount))
 		if c.random.IntN(4) == 0 {
 			model += fmt.Sprint("/a", 1+c.random.IntN(4))
 		}
 		unsafe := c.random.IntN(3) == 0
-		id := fmt.Sprintf("s%d-%d-%d", c.w.seed, c.number, n)
-		status, fault := c.ask(ctx, box, id, model, unsafe)
+		id := fmt.Sprintf("s%d-%d-%d", c.h.seed, c.number, n)
+		status, fault := c.send(ctx, box, id, model, unsafe)
 		if fault != "" {
-			c.w.find("request %s at %s: %s", id, box.ip, fault)
+			c.h.addFailure("request %s at %s: %s", id, box.ip, fault)
 		}
-		c.note(id, status, unsafe)
+		c.record(id, status, unsafe)
 		time.Sleep(time.Duration(c.random.IntN(40)) * time.Millisecond)
 	}
 }
 
-func (c *caller) note(id string, status int, unsafe bool) {
+func (c *caller) record(id string, status int, unsafe bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if unsafe {
-		c.unsafe = append(c.unsafe, id)
+		c.unsafeIDs = append(c.unsafeIDs, id)
 	}
 	switch status {
 	case http.StatusOK:
 		c.served++
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		c.refused = append(c.refused, id)
+		c.refusedIDs = append(c.refusedIDs, id)
 	}
 }
 
-// ask sends one request. It returns the status, 0 where the connection broke, and
-// what an answer must not look like.
-func (c *caller) ask(ctx context.Context, box *daemon, id, model string, unsafe bool) (status int, fault string) {
+// send sends one request. It returns the status, 0 if the connection broke, and a description of what is wrong with the
+// response, "" for nothing.
+func (c *caller) send(ctx context.Context, box *daemon, id, model string, unsafe bool) (status int, fault string) {
 	path := "/safe/x"
 	if unsafe {
 		path = "/unsafe/x"
@@ -88,7 +87,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	req.GetBody = nil // the client must not send it again by itself
+	req.GetBody = nil // keeps the client from retrying on its own
 	req.Host = "h.example"
 	req.Header.Set("Leverdrum-Request-Id", id)
 	req.Header.Set("Leverdrum-Deadline-Ms", "5000")
@@ -106,20 +105,20 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
-			return resp.StatusCode, "refused without a time to come back"
+			return resp.StatusCode, "503 without Retry-After"
 		}
 		return resp.StatusCode, ""
 	}
-	return resp.StatusCode, judge(resp, id, string(body))
+	return resp.StatusCode, checkResponse(resp, id, string(body))
 }
 
-// judge says what is wrong with a whole answer.
-func judge(resp *http.Response, id, body string) string {
+// checkResponse describes what is wrong with a complete response, "" for nothing.
+func checkResponse(resp *http.Response, id, body string) string {
 	if resp.Header.Get("Leverdrum-Server-Stamp") == "" {
-		return "a success without a server's stamp"
+		return "the response has no Leverdrum-Server-Stamp"
 	}
 	if got := resp.Header.Get("Leverdrum-Request-Id"); got != id {
-		return "the answer to " + got
+		return "the response is for request " + got
 	}
 	var ids []string
 	for line := range strings.Lines(body) {
@@ -128,18 +127,18 @@
 		}
 	}
 	var want []string
-	for n := range events {
+	for n := range eventCount {
 		want = append(want, fmt.Sprint(n+1))
 	}
 	if !slices.Equal(ids, want) {
-		return fmt.Sprintf("an answer that ends as if whole has the events %v", ids)
+		return fmt.Sprintf("the response ended cleanly with the events %v", ids)
 	}
 	return ""
 }
 
-// operator applies configurations and reads them back at any box.
+// operator applies configurations and reads them back from arbitrary boxes.
 type operator struct {
-	w      *world
+	h      *harness
 	random *rand.Rand
 	client *http.Client
 
@@ -153,21 +152,21 @@
 	at      time.Time
 }
 
-func newOperator(w *world) *operator {
-	return &operator{w: w, random: rand.New(rand.NewPCG(w.seed, 7)), client: &http.Client{Timeout: 3 * time.Second}, sent: map[int]string{}}
+func newOperator(h *harness) *operator {
+	return &operator{h: h, random: rand.New(rand.NewPCG(h.seed, 7)), client: &http.Client{Timeout: 3 * time.Second}, sent: map[int]string{}}
 }
 
-func config(version int) string {
-	var list []string
-	for i := range models {
-		list = append(list, fmt.Sprintf(`{"name":"m%d","weights_mb":70,"load_s":0.2,"warm_s":0.1,"disk_s":0.1,"adapters":4,"adapter_mb":1}`, i))
+func configText(version int) string {
+	var models []string
+	for i := range modelCount {
+		models = append(models, fmt.Sprintf(`{"name":"m%d","weights_mb":70,"load_s":0.2,"warm_s":0.1,"disk_s":0.1,"adapters":4,"adapter_mb":1}`, i))
 	}
 	route := func(name, path, kind string, resumable bool, attempts int) string {
 		return fmt.Sprintf(`{"name":%q,"hostname":"h.example","path_prefix":%q,"route_type":%q,"timeout_ms":5000,"target_latency_ms":800,"backend":"s","max_attempts":%d,"resumable":%t}`,
 			name, path, kind, attempts, resumable)
 	}
 	return fmt.Sprintf(`{"version":%d,"routes":[%s,%s],"backends":[{"name":"s","max_connections":200,"engine":{"slots":64,"weights_mb":220,"adapter_slots":3,"loads_per_s":50,"models":[%s]}}]}`,
-		version, route("safe", "/safe/", "streaming", true, 2), route("unsafe", "/unsafe/", "unsafe", false, 1), strings.Join(list, ","))
+		version, route("safe", "/safe/", "streaming", true, 2), route("unsafe", "/unsafe/", "unsafe", false, 1), strings.Join(models, ","))
 }
 
 func (o *operator) run(ctx context.Context) {
@@ -178,11 +177,11 @@
 	}
 }
 
-func (o *operator) anyBox() *daemon { return o.w.boxes[o.random.IntN(len(o.w.boxes))] }
+func (o *operator) anyBox() *daemon { return o.h.boxes[o.random.IntN(len(o.h.boxes))] }
 
-// apply sends a configuration once, and reports whether it was acknowledged.
+// apply sends a configuration once and reports whether it was acknowledged.
 func (o *operator) apply(version int, box *daemon) bool {
-	text := config(version)
+	text := configText(version)
 	o.mu.Lock()
 	o.sent[version] = text
 	o.mu.Unlock()
@@ -192,7 +191,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-		o.w.find("configuration %d is refused at %s with %d", version, box.ip, resp.StatusCode)
+		o.h.addFailure("box %[2]s rejected configuration %[1]d with status %[3]d", version, box.ip, resp.StatusCode)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return false
@@ -203,8 +202,8 @@
 	return true
 }
 
-// newest returns the highest version that was acknowledged before a time.
-func (o *operator) newest(before time.Time) (version int) {
+// latestAcked returns the highest version that was acknowledged before a time.
+func (o *operator) latestAcked(before time.Time) (version int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, a := range o.acked {
@@ -215,9 +214,9 @@
 	return version
 }
 
-// readBack reads the configuration from a box; it reports whether one came.
+// readBack reads and checks the configuration of a box. It reports whether the box returned one.
 func (o *operator) readBack(box *daemon) bool {
-	least := o.newest(time.Now().Add(-applyBound))
+	minVersion := o.latestAcked(time.Now().Add(-maxApplyDelay))
 	resp, err := o.client.Get("http://" + box.control() + "/Config.Get")
 	if err != nil {
 		return false
@@ -233,10 +232,10 @@
 	want := o.sent[version]
 	o.mu.Unlock()
 	switch {
-	case version < least:
-		o.w.find("box %s reads back configuration %d, %d was acknowledged %v before", box.ip, version, least, applyBound)
+	case version < minVersion:
+		o.h.addFailure("box %s returned configuration %d; %d was acknowledged at least %v earlier", box.ip, version, minVersion, maxApplyDelay)
 	case string(text) != want:
-		o.w.find("box %s reads back another text under %d than was sent", box.ip, version)
+		o.h.addFailure("box %s returned configuration %d with a text that differs from the one sent", box.ip, version)
 	}
 	return true
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -10,49 +10,49 @@
 	"time"
 )
 
-// faults injects one fault after another; each lasts for itself, so that they overlap.
-type faults struct {
-	w      *world
+// faultInjector injects a series of faults. Each fault runs on its own for its duration, so that faults overlap.
+type faultInjector struct {
+	h      *harness
 	random *rand.Rand
 	wg     sync.WaitGroup
-	// wiped is set while a box with a disk may still have to catch up: at most one
-	// disk is lost at a time.
-	wiped time.Time
+	// lastWipe is when a disk was last lost. The next loss waits for catchUpTime, so that at most one box with a disk
+	// has to catch up at a time.
+	lastWipe time.Time
 }
 
-// kinds are the faults; each draws what it needs before it begins, so that a seed
-// gives the same series.
-var kinds = []struct {
+// faultKinds lists the faults with their weights. Each fault draws its random values before it starts, so that a seed gives
+// the same series.
+var faultKinds = []struct {
 	name   string
 	weight int
-	begin  func(f *faults)
+	begin  func(f *faultInjector)
 }{
-	{"kill", 4, (*faults).kill},
-	{"pause", 4, (*faults).pause},
-	{"planned stop", 3, (*faults).stop},
-	{"hang-up", 2, (*faults).hangUp},
-	{"all killed", 1, (*faults).killAll},
-	{"disk lost", 1, (*faults).wipe},
-	{"torn log", 2, (*faults).tear},
-	{"one way silent", 3, (*faults).oneWay},
-	{"cut off", 2, (*faults).cutOff},
-	{"delay", 2, (*faults).slowLinks},
-	{"reset", 3, (*faults).reset},
-	{"server crash", 4, (*faults).crash},
-	{"server leaves", 3, (*faults).leave},
-	{"late orders", 2, (*faults).late},
+	{"kill", 4, (*faultInjector).kill},
+	{"pause", 4, (*faultInjector).pause},
+	{"planned stop", 3, (*faultInjector).stop},
+	{"hang-up", 2, (*faultInjector).hangUp},
+	{"kill all", 1, (*faultInjector).killAll},
+	{"lose disk", 1, (*faultInjector).loseDisk},
+	{"torn log", 2, (*faultInjector).tearLog},
+	{"one-way stall", 3, (*faultInjector).stallOneWay},
+	{"isolate", 2, (*faultInjector).isolate},
+	{"delay", 2, (*faultInjector).slowLinks},
+	{"reset", 3, (*faultInjector).resetConnections},
+	{"server crash", 4, (*faultInjector).crashServer},
+	{"drain server", 3, (*faultInjector).drainServer},
+	{"delay orders", 2, (*faultInjector).delayOrders},
 }
 
-func (f *faults) run(ctx context.Context) {
+func (f *faultInjector) run(ctx context.Context) {
 	total := 0
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		total += k.weight
 	}
 	for ctx.Err() == nil {
 		n := f.random.IntN(total)
-		for _, k := range kinds {
+		for _, k := range faultKinds {
 			if n -= k.weight; n < 0 {
-				f.w.t.Logf("%s fault: %s", time.Now().Format("05.000"), k.name)
+				f.h.t.Logf("%s fault: %s", time.Now().Format("05.000"), k.name)
 				k.begin(f)
 				break
 			}
@@ -62,64 +62,66 @@
 	f.wg.Wait()
 }
 
-func (f *faults) box() *daemon { return f.w.boxes[f.random.IntN(boxes)] }
-func (f *faults) span() time.Duration {
+func (f *faultInjector) randomBox() *daemon { return f.h.boxes[f.random.IntN(boxCount)] }
+func (f *faultInjector) duration() time.Duration {
 	return time.Duration(100+f.random.IntN(3000)) * time.Millisecond
 }
-func (f *faults) brief() time.Duration { return time.Duration(f.random.IntN(300)) * time.Millisecond }
+func (f *faultInjector) shortDuration() time.Duration {
+	return time.Duration(f.random.IntN(300)) * time.Millisecond
+}
 
-// hold keeps other faults off a box while do runs beside.
-func (f *faults) hold(d *daemon, do func()) {
+// lockBox runs do in the background and keeps other faults away from the box meanwhile.
+func (f *faultInjector) lockBox(d *daemon, do func()) {
 	f.wg.Go(func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		defer f.w.limits.excuse(time.Now(), true, d)
+		defer f.h.limits.recordDisturbance(time.Now(), true, d)
 		do()
 	})
 }
 
-func (f *faults) kill() {
-	d, down := f.box(), f.brief()
-	f.hold(d, func() {
+func (f *faultInjector) kill() {
+	d, down := f.randomBox(), f.shortDuration()
+	f.lockBox(d, func() {
 		d.killLocked()
 		time.Sleep(down)
 		d.start()
 	})
 }
 
-func (f *faults) pause() {
-	d, span := f.box(), f.span()
-	f.hold(d, func() {
+func (f *faultInjector) pause() {
+	d, duration := f.randomBox(), f.duration()
+	f.lockBox(d, func() {
 		_ = d.cmd.Process.Signal(syscall.SIGSTOP)
-		time.Sleep(span)
+		time.Sleep(duration)
 		_ = d.cmd.Process.Signal(syscall.SIGCONT)
 	})
 }
 
-func (f *faults) stop() {
-	d, down := f.box(), f.brief()
-	f.hold(d, func() {
+func (f *faultInjector) stop() {
+	d, down := f.randomBox(), f.shortDuration()
+	f.lockBox(d, func() {
 		d.stop()
 		time.Sleep(down)
 		d.start()
 	})
 }
 
-func (f *faults) hangUp() {
-	d := f.box()
-	f.hold(d, func() {
-		d.heeds()
+func (f *faultInjector) hangUp() {
+	d := f.randomBox()
+	f.lockBox(d, func() {
+		d.awaitSignalHandling()
 		_ = d.cmd.Process.Signal(syscall.SIGHUP)
 	})
 }
 
-func (f *faults) killAll() {
+func (f *faultInjector) killAll() {
 	var wg sync.WaitGroup
-	for _, d := range f.w.boxes {
+	for _, d := range f.h.boxes {
 		wg.Go(func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			defer f.w.limits.excuse(time.Now(), true, d)
+			defer f.h.limits.recordDisturbance(time.Now(), true, d)
 			d.killLocked()
 			d.start()
 		})
@@ -127,142 +129,141 @@
 	f.wg.Go(wg.Wait)
 }
 
-// catchUp is how long a box whose disk was lost has before another may lose its own.
-const catchUp = 8 * time.Second
+// catchUpTime is how long a box has to catch up after the loss of its disk before another disk may be lost.
+const catchUpTime = 8 * time.Second
 
-func (f *faults) wipe() {
-	d := f.w.boxes[f.random.IntN(disks)]
-	if time.Since(f.wiped) < catchUp {
+func (f *faultInjector) loseDisk() {
+	d := f.h.boxes[f.random.IntN(diskBoxCount)]
+	if time.Since(f.lastWipe) < catchUpTime {
 		return
 	}
-	f.wiped = time.Now()
-	f.hold(d, func() {
+	f.lastWipe = time.Now()
+	f.lockBox(d, func() {
 		d.killLocked()
 		if err := os.RemoveAll(filepath.Join(d.folder, "data")); err != nil {
-			f.w.find("the disk of %s cannot be emptied: %v", d.ip, err)
+			f.h.addFailure("cannot empty the disk of box %s: %v", d.ip, err)
 		}
 		d.start()
 	})
 }
 
-// tear kills a box in the middle of a write to its log: what a torn write leaves
-// behind the last whole record is there at the next start.
-func (f *faults) tear() {
-	d := f.w.boxes[f.random.IntN(disks)]
-	rest := make([]byte, 1+f.random.IntN(40))
-	for i := range rest {
-		rest[i] = byte(f.random.IntN(256))
+// tearLog kills a box and appends random bytes to its log, as a torn write leaves them behind the last complete record.
+func (f *faultInjector) tearLog() {
+	d := f.h.boxes[f.random.IntN(diskBoxCount)]
+	tail := make([]byte, 1+f.random.IntN(40))
+	for i := range tail {
+		tail[i] = byte(f.random.IntN(256))
 	}
-	f.hold(d, func() {
+	f.lockBox(d, func() {
 		d.killLocked()
 		logs, _ := filepath.Glob(filepath.Join(d.folder, "data", "log*"))
 		for _, path := range logs {
-			appendTo(path, rest)
+			appendTo(path, tail)
 		}
 		d.start()
 	})
 }
 
-func appendTo(path string, rest []byte) {
+func appendTo(path string, tail []byte) {
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
-		return // renamed meanwhile
+		return // the file was renamed in the meantime
 	}
 	defer file.Close()
-	_, _ = file.Write(rest)
+	_, _ = file.Write(tail)
 }
 
-// between sets what happens to bytes from one box to another for a time.
-func (f *faults) between(list [][2]*daemon, silent bool, delay, span time.Duration) {
-	for _, pair := range list {
-		f.w.links.set(pair[0].ip, pair[1].ip, silent, delay)
+// disturbLinks stalls or delays the bytes from one box to another, for each pair, for a time.
+func (f *faultInjector) disturbLinks(pairs [][2]*daemon, stalled bool, delay, duration time.Duration) {
+	for _, pair := range pairs {
+		f.h.links.set(pair[0].ip, pair[1].ip, stalled, delay)
 	}
-	began := time.Now()
+	start := time.Now()
 	f.wg.Go(func() {
-		time.Sleep(span)
-		for _, pair := range list {
-			f.w.limits.excuse(began, false, pair[0], pair[1])
+		time.Sleep(duration)
+		for _, pair := range pairs {
+			f.h.limits.recordDisturbance(start, false, pair[0], pair[1])
 		}
-		for _, pair := range list {
-			f.w.links.set(pair[0].ip, pair[1].ip, false, 0)
+		for _, pair := range pairs {
+			f.h.links.set(pair[0].ip, pair[1].ip, false, 0)
 		}
 	})
 }
 
-func (f *faults) oneWay() {
-	from, to := f.box(), f.box()
-	f.between([][2]*daemon{{from, to}}, true, 0, f.span())
+func (f *faultInjector) stallOneWay() {
+	from, to := f.randomBox(), f.randomBox()
+	f.disturbLinks([][2]*daemon{{from, to}}, true, 0, f.duration())
 }
 
-func (f *faults) cutOff() {
-	d, span := f.box(), f.span()
-	var list [][2]*daemon
-	for _, o := range f.w.boxes {
+func (f *faultInjector) isolate() {
+	d, duration := f.randomBox(), f.duration()
+	var pairs [][2]*daemon
+	for _, o := range f.h.boxes {
 		if o != d {
-			list = append(list, [2]*daemon{d, o}, [2]*daemon{o, d})
+			pairs = append(pairs, [2]*daemon{d, o}, [2]*daemon{o, d})
 		}
 	}
-	f.between(list, true, 0, span)
+	f.disturbLinks(pairs, true, 0, duration)
 }
 
-func (f *faults) slowLinks() {
-	d, delay, span := f.box(), f.brief(), f.span()
-	var list [][2]*daemon
-	for _, o := range f.w.boxes {
-		list = append(list, [2]*daemon{o, d})
+func (f *faultInjector) slowLinks() {
+	d, delay, duration := f.randomBox(), f.shortDuration(), f.duration()
+	var pairs [][2]*daemon
+	for _, o := range f.h.boxes {
+		pairs = append(pairs, [2]*daemon{o, d})
 	}
-	f.between(list, false, delay, span)
+	f.disturbLinks(pairs, false, delay, duration)
 }
 
-func (f *faults) reset() {
-	d := f.box()
-	f.w.links.reset(d.ip)
-	f.w.limits.excuse(time.Now(), false, d)
+func (f *faultInjector) resetConnections() {
+	d := f.randomBox()
+	f.h.links.reset(d.ip)
+	f.h.limits.recordDisturbance(time.Now(), false, d)
 }
 
-func (f *faults) crash() {
-	place, down := f.random.IntN(servers), f.span()
+func (f *faultInjector) crashServer() {
+	index, down := f.random.IntN(serverCount), f.duration()
 	f.wg.Go(func() {
-		if s := f.w.liveServer(place); s != nil {
+		if s := f.h.newestServer(index); s != nil {
 			s.Stop()
 		}
 		time.Sleep(down)
-		f.w.startServer(place)
+		f.h.startServer(index)
 	})
 }
 
-func (f *faults) leave() {
-	place := f.random.IntN(servers)
+func (f *faultInjector) drainServer() {
+	index := f.random.IntN(serverCount)
 	f.wg.Go(func() {
-		s := f.w.liveServer(place)
+		s := f.h.newestServer(index)
 		if s == nil {
 			return
 		}
 		s.Drain()
 		time.Sleep(3 * time.Second)
 		s.Stop()
-		f.w.startServer(place)
+		f.h.startServer(index)
 	})
 }
 
-func (f *faults) late() {
-	place, span := f.random.IntN(servers), f.span()
-	lateness := rand.New(rand.NewPCG(f.random.Uint64(), 1))
-	s := f.w.liveServer(place)
+func (f *faultInjector) delayOrders() {
+	index, duration := f.random.IntN(serverCount), f.duration()
+	delays := rand.New(rand.NewPCG(f.random.Uint64(), 1))
+	s := f.h.newestServer(index)
 	if s == nil {
 		return
 	}
-	var mu sync.Mutex // of lateness
+	var mu sync.Mutex // guards delays
 	s.SetOrderDelay(func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		if lateness.IntN(2) == 0 {
-			return time.Duration(50+lateness.IntN(3000)) * time.Millisecond
+		if delays.IntN(2) == 0 {
+			return time.Duration(50+delays.IntN(3000)) * time.Millisecond
 		}
 		return 0
 	})
 	f.wg.Go(func() {
-		time.Sleep(span)
+		time.Sleep(duration)
 		s.SetOrderDelay(nil)
 	})
 }
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -11,39 +11,41 @@
 	"leverdrum/platform/standin"
 )
 
-// Servers name limits beside all other faults, up, down and away. What each got is judged by what it saw itself.
+// In addition to all other faults, servers report limits, which rise, fall and end. Each server's arrivals are checked
+// against the limits it reported.
 const (
-	// limitWindow is the span over which a limit is judged, limitOver the share of it that may arrive there and limitSlack
-	// the requests besides.
-	limitWindow = 4 * time.Second
-	limitOver   = 1.5
-	limitSlack  = 5
-	// limitContact is the time from a server's first naming of a limit until all boxes hold to it: half of what the users
-	// allow, so that more of a short run is judged. limitTold is the time after which a box holds to an answer that it
-	// passed on itself.
-	limitContact = 2 * time.Second
-	limitTold    = 500 * time.Millisecond
+	// limitWindow is the time over which a limit is checked. limitTolerance is the permitted multiple of the limit in it, and
+	// limitSlack the number of requests permitted on top.
+	limitWindow    = 4 * time.Second
+	limitTolerance = 1.5
+	limitSlack     = 5
+	// limitPropagation is the time from a server's first report of a limit until all boxes apply it: half of what the users
+	// permit, so that more of a short run is checked. limitReactionTime is the time after which a box applies a limit that
+	// it received itself in a response.
+	limitPropagation  = 2 * time.Second
+	limitReactionTime = 500 * time.Millisecond
 )
 
-// limits are what servers name, and which boxes are excused from them when.
+// limits holds the limits that servers report and the times at which boxes were disturbed.
 type limits struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	named   map[string]string // by server
-	ended   bool              // no further server names one
-	excused []excuse
+	mu           sync.Mutex
+	random       *rand.Rand
+	reported     map[string]string // by server ID
+	ended        bool              // no more limits are reported
+	disturbances []disturbance
 }
 
-// excuse is a time in which a box was disturbed. process tells that its process was, and not only its links to others.
-type excuse struct {
+// disturbance is a time in which a box was disturbed: its process if process is set, otherwise only its links to other
+// boxes.
+type disturbance struct {
 	box      string
 	from, to time.Time
 	process  bool
 }
 
-// newLimits draws from a source of its own, so that a seed's series of faults stays what it was.
+// newLimits uses a random source of its own, so that the series of faults of existing seeds does not change.
 func newLimits(seed uint64) *limits {
-	return &limits{random: rand.New(rand.NewPCG(seed, 11)), named: map[string]string{}}
+	return &limits{random: rand.New(rand.NewPCG(seed, 11)), reported: map[string]string{}}
 }
 
 func (l *limits) draw(n int) int {
@@ -52,116 +54,117 @@
 	return l.random.IntN(n)
 }
 
-// begin has a server that starts name something.
-func (l *limits) begin(server string) {
+// assignInitial draws the limit that a starting server reports.
+func (l *limits) assignInitial(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.ended {
-		l.named[server] = values[l.random.IntN(len(values))]
+		l.reported[server] = limitValues[l.random.IntN(len(limitValues))]
 	}
 }
 
-func (l *limits) of(server string) string {
+func (l *limits) limitOf(server string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.named[server]
+	return l.reported[server]
 }
 
-func (l *limits) name(server, limit string) {
+func (l *limits) setLimit(server, limit string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named[server] = limit
+	l.reported[server] = limit
 }
 
-// excuse notes that boxes were disturbed from a time until now.
-func (l *limits) excuse(from time.Time, process bool, list ...*daemon) {
+// recordDisturbance records that boxes were disturbed from a time until now.
+func (l *limits) recordDisturbance(from time.Time, process bool, boxes ...*daemon) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, d := range list {
-		l.excused = append(l.excused, excuse{d.ip, from, time.Now(), process})
+	for _, d := range boxes {
+		l.disturbances = append(l.disturbances, disturbance{d.ip, from, time.Now(), process})
 	}
 }
 
-// holds reports whether a box was disturbed in a span or shortly before.
-func (l *limits) holds(box string, from, to time.Time) bool {
+// undisturbed reports whether neither a box's process nor its links were disturbed in a period or within limitPropagation
+// before it.
+func (l *limits) undisturbed(box string, from, to time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !slices.ContainsFunc(l.excused, func(e excuse) bool {
-		return e.box == box && e.from.Before(to) && e.to.After(from.Add(-limitContact))
+	return !slices.ContainsFunc(l.disturbances, func(e disturbance) bool {
+		return e.box == box && e.from.Before(to) && e.to.After(from.Add(-limitPropagation))
 	})
 }
 
-// undisturbed reports whether a box's process was left alone in a span.
-func (l *limits) undisturbed(box string, from, to time.Time) bool {
+// processUndisturbed reports whether a box's process was not disturbed in a period.
+func (l *limits) processUndisturbed(box string, from, to time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !slices.ContainsFunc(l.excused, func(e excuse) bool { return e.process && e.box == box && e.from.Before(to) && e.to.After(from) })
+	return !slices.ContainsFunc(l.disturbances, func(e disturbance) bool { return e.process && e.box == box && e.from.Before(to) && e.to.After(from) })
 }
 
-// values are what servers name: limits, none, and what cannot be read.
-var values = []string{"0.4", "1.1", "3", "8", "20", "", "", "", "NaN", "-1"}
+// limitValues are the limits that servers report: valid ones, none ("") and invalid ones.
+var limitValues = []string{"0.4", "1.1", "3", "8", "20", "", "", "", "NaN", "-1"}
 
-// run has one server after another name something else, and all of them nothing in the end.
-func (l *limits) run(ctx context.Context, w *world) {
+// run changes the limit of one server after another and removes all limits at the end.
+func (l *limits) run(ctx context.Context, h *harness) {
 	for wait.For(ctx, time.Duration(1500+l.draw(4500))*time.Millisecond) {
-		place, value := l.draw(servers), values[l.draw(len(values))]
-		if s := w.liveServer(place); s != nil {
-			w.t.Logf("%s %s names the limit %q", time.Now().Format("05.000"), s.ID, value)
-			l.name(s.ID, value)
+		index, value := l.draw(serverCount), limitValues[l.draw(len(limitValues))]
+		if s := h.newestServer(index); s != nil {
+			h.t.Logf("%s %s reports the limit %q", time.Now().Format("05.000"), s.ID, value)
+			l.setLimit(s.ID, value)
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.named)
+	clear(l.reported)
 	l.ended = true
 }
 
-// checkLimits judges each server by what it saw.
-func (w *world) checkLimits() {
-	w.mu.Lock()
-	servers := w.servers
-	w.mu.Unlock()
-	judged := 0
+// checkLimits checks the arrivals at each server.
+func (h *harness) checkLimits() {
+	h.mu.Lock()
+	servers := h.servers
+	h.mu.Unlock()
+	checked := 0
 	for _, s := range servers {
-		judged += w.checkLimit(s)
+		checked += h.checkServerLimit(s)
 	}
-	w.t.Logf("seed %d: %d windows of servers with a limit judged", w.seed, judged)
+	h.t.Logf("seed %d: %d windows of servers with a limit checked", h.seed, checked)
 }
 
-// checkLimit returns how many windows it judged.
-func (w *world) checkLimit(s *standin.Server) (judged int) {
-	arrived := s.Arrivals()
-	for i, last := range arrived {
+// checkServerLimit checks the arrivals at one server and returns the number of windows checked.
+func (h *harness) checkServerLimit(s *standin.Server) (checked int) {
+	arrivals := s.Arrivals()
+	for i, last := range arrivals {
 		from := last.ReceivedAt.Add(-limitWindow)
-		limit, since := limitIn(arrived[:i+1], from)
-		if limit == 0 || from.Before(since.Add(limitContact)) {
+		limit, since := highestLimit(arrivals[:i+1], from)
+		if limit == 0 || from.Before(since.Add(limitPropagation)) {
 			continue
 		}
-		judged++
+		checked++
 		count := 0
-		for _, a := range arrived[:i+1] {
-			if a.ReceivedAt.After(from) && w.limits.holds(a.Via, from, last.ReceivedAt) && toldBefore(arrived, a.Via, from.Add(-limitTold)) {
+		for _, a := range arrivals[:i+1] {
+			if a.ReceivedAt.After(from) && h.limits.undisturbed(a.Via, from, last.ReceivedAt) && reportedBefore(arrivals, a.Via, from.Add(-limitReactionTime)) {
 				count++
 			}
 		}
-		if allowed := limitOver*limitWindow.Seconds()*limit + limitSlack; float64(count) > allowed {
-			w.find("server %s, limit %v, got %d requests in %v, allowed %.1f", s.ID, limit, count, limitWindow, allowed)
-			return judged
+		if allowed := limitTolerance*limitWindow.Seconds()*limit + limitSlack; float64(count) > allowed {
+			h.addFailure("server %s with limit %v received %d requests in %v, at most %.1f are permitted", s.ID, limit, count, limitWindow, allowed)
+			return checked
 		}
 	}
-	return judged
+	return checked
 }
 
-// limitIn returns the highest limit that was named in the window from a time on, and since when some limit was named; 0 where
-// it was not named all along.
-func limitIn(arrived []standin.Arrival, from time.Time) (highest float64, since time.Time) {
-	for _, a := range arrived {
+// highestLimit returns the highest limit in effect from a time on, and since when responses have reported a limit without
+// interruption. Both are zero if the last response reported none.
+func highestLimit(arrivals []standin.Arrival, from time.Time) (highest float64, since time.Time) {
+	for _, a := range arrivals {
 		switch {
 		case a.Limit == 0:
 			highest, since = 0, time.Time{}
 		case since.IsZero():
 			highest, since = a.Limit, a.ReceivedAt
-		case a.ReceivedAt.Before(from.Add(-limitContact)):
+		case a.ReceivedAt.Before(from.Add(-limitPropagation)):
 			highest = a.Limit
 		default:
 			highest = max(highest, a.Limit)
@@ -170,9 +173,9 @@
 	return highest, since
 }
 
-// toldBefore reports whether a box had passed an answer with a limit on before a time.
-func toldBefore(arrived []standin.Arrival, box string, before time.Time) bool {
-	return slices.ContainsFunc(arrived, func(a standin.Arrival) bool {
+// reportedBefore reports whether a box forwarded a response with a limit before a time.
+func reportedBefore(arrivals []standin.Arrival, box string, before time.Time) bool {
+	return slices.ContainsFunc(arrivals, func(a standin.Arrival) bool {
 		return a.Via == box && a.Limit > 0 && a.ReceivedAt.Before(before)
 	})
 }
--- a/soak/links_test.go
+++ b/soak/links_test.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// links is the network between boxes: a forwarder before each box that knows its
-// callers by their IP numbers.
+// links simulates the network between boxes: a forwarder in front of each box, which identifies the other boxes by their IP
+// addresses.
 type links struct {
-	mu     sync.Mutex
-	silent map[[2]string]bool          // from, to: bytes stay on the way
-	delay  map[[2]string]time.Duration // from, to
-	open   map[net.Conn]string         // incoming connections, by the box they lead to
+	mu      sync.Mutex
+	stalled map[[2]string]bool          // from, to; bytes are held back
+	delay   map[[2]string]time.Duration // from, to
+	open    map[net.Conn]string         // incoming connections, with the IP address of the box they lead to
 }
 
 func newLinks() *links {
-	return &links{silent: map[[2]string]bool{}, delay: map[[2]string]time.Duration{}, open: map[net.Conn]string{}}
+	return &links{stalled: map[[2]string]bool{}, delay: map[[2]string]time.Duration{}, open: map[net.Conn]string{}}
 }
 
-func (l *links) set(from, to string, silent bool, delay time.Duration) {
+func (l *links) set(from, to string, stalled bool, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent[[2]string{from, to}] = silent
+	l.stalled[[2]string{from, to}] = stalled
 	l.delay[[2]string{from, to}] = delay
 }
 
 func (l *links) heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.silent)
+	clear(l.stalled)
 	clear(l.delay)
 }
 
-// reset breaks all connections to a box off.
+// reset resets all connections to a box.
 func (l *links) reset(ip string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c, to := range l.open {
 		if to == ip {
-			_ = c.(*net.TCPConn).SetLinger(0) // then the close resets
+			_ = c.(*net.TCPConn).SetLinger(0) // makes Close send a reset
 			c.Close()
 		}
 	}
 }
 
-// pass waits until bytes may pass.
-func (l *links) pass(from, to string) {
+// awaitPassable waits until bytes may pass from one box to another, and for the delay of the link.
+func (l *links) awaitPassable(from, to string) {
 	for {
 		l.mu.Lock()
-		silent, delay := l.silent[[2]string{from, to}], l.delay[[2]string{from, to}]
+		stalled, delay := l.stalled[[2]string{from, to}], l.delay[[2]string{from, to}]
 		l.mu.Unlock()
-		if !silent {
+		if !stalled {
 			time.Sleep(delay)
 			return
 		}
@@ -65,11 +65,11 @@
 		if err != nil {
 			return
 		}
-		go l.carry(in, ip, target)
+		go l.proxy(in, ip, target)
 	}
 }
 
-func (l *links) carry(in net.Conn, ip, target string) {
+func (l *links) proxy(in net.Conn, ip, target string) {
 	defer in.Close()
 	l.mu.Lock()
 	l.open[in] = ip
@@ -80,7 +80,7 @@
 		l.mu.Unlock()
 	}()
 	caller := in.RemoteAddr().(*net.TCPAddr).IP.String()
-	l.pass(caller, ip)
+	l.awaitPassable(caller, ip)
 	out, err := net.Dial("tcp", target)
 	if err != nil {
 		return
@@ -97,7 +97,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		l.pass(source, target)
+		l.awaitPassable(source, target)
 		if _, werr := to.Write(buf[:n]); werr != nil || err != nil {
 			return
 		}
--- a/soak/pushback_test.go
+++ b/soak/pushback_test.go
@@ -10,35 +10,35 @@
 	"leverdrum/platform/standin"
 )
 
-// Servers turn requests and calls away and ask for rest, and say in their answers alone that they are about to end, beside all
-// other faults. What each got is judged by what it saw itself, by box.
+// In addition to all other faults, servers reject requests and calls with a Retry-After, and announce only in their responses
+// that they are draining. Each server's arrivals are checked by box.
 const (
-	// restTold is the time that a box has to hold to a rest, restMost what may reach the server from it between then and the
-	// end of the rest.
-	restTold = 500 * time.Millisecond
-	restMost = 2
-	// leaveTold is the time after an answer that says that the server is about to end from which nothing that a caller sends
-	// through the box that passed it on may reach the server.
-	leaveTold = 2 * time.Second
+	// backoffReactionTime is the time that a box has to honor a backoff. maxBackoffArrivals is the number of requests that
+	// may reach the server from that box between then and the end of the backoff.
+	backoffReactionTime = 500 * time.Millisecond
+	maxBackoffArrivals  = 2
+	// drainReactionTime is the time after a response that says that the server is draining. No request that a caller sends
+	// later, through the box that forwarded the response, may reach the server.
+	drainReactionTime = 2 * time.Second
 )
 
-// pushback is what servers say of themselves.
+// pushback holds the backoffs and draining states that servers report.
 type pushback struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	rests  map[string]resting // by server
-	left   map[string]bool
+	mu       sync.Mutex
+	random   *rand.Rand
+	backoffs map[string]backoff // by server ID
+	draining map[string]bool
 }
 
-// resting is a time in which a server turns a share of what comes away.
-type resting struct {
-	until time.Time
-	share float64
-	after string // its Retry-After
+// backoff is a time in which a server rejects a share of its requests.
+type backoff struct {
+	until      time.Time
+	share      float64
+	retryAfter string // value of the Retry-After header
 }
 
 func newPushback(seed uint64) *pushback {
-	return &pushback{random: rand.New(rand.NewPCG(seed, 13)), rests: map[string]resting{}, left: map[string]bool{}}
+	return &pushback{random: rand.New(rand.NewPCG(seed, 13)), backoffs: map[string]backoff{}, draining: map[string]bool{}}
 }
 
 func (p *pushback) draw(n int) int {
@@ -47,123 +47,124 @@
 	return p.random.IntN(n)
 }
 
-func (p *pushback) turnAway(server string) string {
+func (p *pushback) retryAfter(server string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := p.rests[server]
-	if time.Now().After(r.until) || p.random.Float64() >= r.share {
+	b := p.backoffs[server]
+	if time.Now().After(b.until) || p.random.Float64() >= b.share {
 		return ""
 	}
-	return r.after
+	return b.retryAfter
 }
 
-func (p *pushback) leaves(server string) bool {
+func (p *pushback) isDraining(server string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.left[server]
+	return p.draining[server]
 }
 
 var (
-	// afters are the rests that servers ask for, strange ones among them.
-	afters = []string{"1", "0.7", "3", "2.25", "0", "soon"}
-	shares = []float64{1, 1, 0.3, 0.1}
+	// retryAfterValues are the values of Retry-After, invalid ones among them.
+	retryAfterValues = []string{"1", "0.7", "3", "2.25", "0", "soon"}
+	rejectShares     = []float64{1, 1, 0.3, 0.1}
 )
 
-// run has one server after another ask for rest, and now and then one end that says so only in its answers.
-func (p *pushback) run(ctx context.Context, w *world) {
+// run makes one server after another request backoff; occasionally one drains and says so only in its responses.
+func (p *pushback) run(ctx context.Context, h *harness) {
 	for wait.For(ctx, time.Duration(200+p.draw(1300))*time.Millisecond) {
-		place, after, share, span := p.draw(servers), afters[p.draw(len(afters))], shares[p.draw(len(shares))], time.Duration(300+p.draw(3000))*time.Millisecond
-		ends := p.draw(5) == 0
-		s := w.liveServer(place)
+		index, retryAfter, share, duration := p.draw(serverCount), retryAfterValues[p.draw(len(retryAfterValues))], rejectShares[p.draw(len(rejectShares))], time.Duration(300+p.draw(3000))*time.Millisecond
+		drain := p.draw(5) == 0
+		s := h.newestServer(index)
 		if s == nil {
 			continue
 		}
-		if ends {
-			w.t.Logf("%s %s says in its answers that it is about to end", time.Now().Format("05.000"), s.ID)
-			p.leave(ctx, w, place, s)
+		if drain {
+			h.t.Logf("%s %s says in its responses that it is draining", time.Now().Format("05.000"), s.ID)
+			p.drainServer(ctx, h, index, s)
 			continue
 		}
-		w.t.Logf("%s %s turns %.1f of all away for %v, with Retry-After %q", time.Now().Format("05.000"), s.ID, share, span, after)
+		h.t.Logf("%s %s rejects a share of %.1f for %v, with Retry-After %q", time.Now().Format("05.000"), s.ID, share, duration, retryAfter)
 		p.mu.Lock()
-		p.rests[s.ID] = resting{time.Now().Add(span), share, after}
+		p.backoffs[s.ID] = backoff{time.Now().Add(duration), share, retryAfter}
 		p.mu.Unlock()
 	}
 }
 
-// leave has a server say that it is about to end, and end.
-func (p *pushback) leave(ctx context.Context, w *world, place int, s *standin.Server) {
+// drainServer makes a server say that it is draining, then stops it and starts its successor.
+func (p *pushback) drainServer(ctx context.Context, h *harness, index int, s *standin.Server) {
 	p.mu.Lock()
-	p.left[s.ID] = true
+	p.draining[s.ID] = true
 	p.mu.Unlock()
-	wait.For(ctx, leaveTold+1500*time.Millisecond)
+	wait.For(ctx, drainReactionTime+1500*time.Millisecond)
 	s.Stop()
-	w.startServer(place)
+	h.startServer(index)
 }
 
-// checkPushback judges each server by what it saw.
-func (w *world) checkPushback() {
-	w.mu.Lock()
-	servers := w.servers
-	w.mu.Unlock()
-	rests, lefts := 0, 0
+// checkPushback checks the arrivals at each server.
+func (h *harness) checkPushback() {
+	h.mu.Lock()
+	servers := h.servers
+	h.mu.Unlock()
+	backoffs, notified := 0, 0
 	for _, s := range servers {
-		arrived := s.AllArrivals()
-		rests += w.checkRests(s, arrived)
-		lefts += w.checkLeft(s, arrived)
+		arrivals := s.AllArrivals()
+		backoffs += h.checkBackoffs(s, arrivals)
+		notified += h.checkDraining(s, arrivals)
 	}
-	w.t.Logf("seed %d: %d rests and %d boxes of servers that were about to end judged", w.seed, rests, lefts)
+	h.t.Logf("seed %d: %d backoffs and %d boxes of draining servers checked", h.seed, backoffs, notified)
 }
 
-// checkRests returns how many rests it judged. Orders and the reading of reports, which do not tell their box, are judged as
-// those of one: the leader's.
-func (w *world) checkRests(s *standin.Server, arrived []standin.Arrival) (judged int) {
-	for i, asked := range arrived {
-		until := asked.ReceivedAt.Add(asked.RetryAfter)
-		if asked.RetryAfter <= restTold || !w.undisturbed(asked, until) {
+// checkBackoffs checks the arrivals during each backoff and returns the number of backoffs checked. Orders and report queries
+// do not name their box, and are checked as if they came from one box, the leader.
+func (h *harness) checkBackoffs(s *standin.Server, arrivals []standin.Arrival) (checked int) {
+	for i, rejected := range arrivals {
+		until := rejected.ReceivedAt.Add(rejected.RetryAfter)
+		if rejected.RetryAfter <= backoffReactionTime || !h.boxesUndisturbed(rejected, until) {
 			continue
 		}
-		judged++
+		checked++
 		n := 0
-		for _, a := range arrived[i+1:] {
-			if since := a.ReceivedAt.Sub(asked.ReceivedAt); a.Via == asked.Via && since > restTold && since < asked.RetryAfter {
+		for _, a := range arrivals[i+1:] {
+			if since := a.ReceivedAt.Sub(rejected.ReceivedAt); a.Via == rejected.Via && since > backoffReactionTime && since < rejected.RetryAfter {
 				n++
 			}
 		}
-		if n > restMost {
-			w.find("server %s asked box %q (control %v) for %v of rest and got %d requests in it", s.ID, asked.Via, asked.Control, asked.RetryAfter, n)
+		if n > maxBackoffArrivals {
+			h.addFailure("server %s requested a backoff from box %q (control %v) for %v and received %d requests during it", s.ID, rejected.Via, rejected.Control, rejected.RetryAfter, n)
 		}
 	}
-	return judged
+	return checked
 }
 
-// undisturbed reports whether the box that an answer went to was left alone until a time; for calls of the leader, which
-// may be any, whether all were.
-func (w *world) undisturbed(asked standin.Arrival, until time.Time) bool {
-	if !asked.Control {
-		return w.limits.undisturbed(asked.Via, asked.ReceivedAt, until)
+// boxesUndisturbed reports whether the box that received a rejection was not disturbed until a time. Calls of the leader may
+// come from any box, so for these no box may have been disturbed.
+func (h *harness) boxesUndisturbed(rejected standin.Arrival, until time.Time) bool {
+	if !rejected.Control {
+		return h.limits.processUndisturbed(rejected.Via, rejected.ReceivedAt, until)
 	}
-	for _, d := range w.boxes {
-		if !w.limits.undisturbed(d.ip, asked.ReceivedAt, until) {
+	for _, d := range h.boxes {
+		if !h.limits.processUndisturbed(d.ip, rejected.ReceivedAt, until) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkLeft returns how many boxes it judged that were told that the server is about to end.
-func (w *world) checkLeft(s *standin.Server, arrived []standin.Arrival) int {
-	told := map[string]time.Time{}
-	for _, a := range arrived {
+// checkDraining checks the arrivals through each box that forwarded a response saying that the server is draining. It returns
+// the number of these boxes.
+func (h *harness) checkDraining(s *standin.Server, arrivals []standin.Arrival) int {
+	notified := map[string]time.Time{}
+	for _, a := range arrivals {
 		if a.Control {
 			continue
 		}
-		since, known := told[a.Via]
-		if known && a.SentAt.After(since.Add(leaveTold)) && w.limits.undisturbed(a.Via, since, a.ReceivedAt) {
-			w.find("server %s got a request of box %s that was sent %v after its answer that it is about to end", s.ID, a.Via, a.SentAt.Sub(since))
+		since, known := notified[a.Via]
+		if known && a.SentAt.After(since.Add(drainReactionTime)) && h.limits.processUndisturbed(a.Via, since, a.ReceivedAt) {
+			h.addFailure("server %s received a request through box %s that was sent %v after the response that it is draining", s.ID, a.Via, a.SentAt.Sub(since))
 		}
 		if a.Draining && !known {
-			told[a.Via] = a.ReceivedAt
+			notified[a.Via] = a.ReceivedAt
 		}
 	}
-	return len(told)
+	return len(notified)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,38 +14,37 @@
 )
 
 const (
-	// recovers is how long after the last fault all must be served again.
-	recovers = 30 * time.Second
-	// fixedSeed and fixedSpan make the run of CI.
-	fixedSeed = 20261202
-	fixedSpan = 12 * time.Second
+	// recoveryTimeout is the time after the last fault within which all requests must be served again.
+	recoveryTimeout = 30 * time.Second
+	// fixedSeed and fixedDuration define the CI run.
+	fixedSeed     = 20261202
+	fixedDuration = 12 * time.Second
 )
 
-// failed are the seeds that ever failed, with what was found; they are played again
-// in each run. Times differ from run to run, so a seed gives the same series of
-// faults and not the same interleaving.
-var failed = []struct {
+// failedSeeds lists the seeds that ever failed, with the cause; each run repeats them. Timing differs between runs, so a seed
+// gives the same series of faults but not the same interleaving.
+var failedSeeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{20261202, "a torn record whose beginning was spoilt ended the box at each start (wal, rule 2)"},
-	{1069260638684, "SIGHUP before the settings were read ended the process (daemon, catch)"},
-	{643281099898, "the same"},
-	{1016905792061, "SIGTERM as early ended it without a planned stop"},
-	{667783712339, "the soak's own: a process killed before its first line was waited for by count"},
-	{618484344335, "events that were not passed on were counted as passed, and not asked for again (gateway, relay)"},
-	{416881008403, "an order was sent again, since its closing was answered before the view showed it (replica, publish)"},
+	{20261202, "a torn record with a corrupt beginning made the box exit at each start (wal, rule 2)"},
+	{1069260638684, "SIGHUP before the settings were read terminated the process (daemon, catch)"},
+	{643281099898, "same as the previous seed"},
+	{1016905792061, "SIGTERM before the settings were read terminated the process without a planned stop"},
+	{667783712339, "fault of the test: it counted log lines to wait for a start, and a process was killed before its first line"},
+	{618484344335, "events that were not forwarded were counted as forwarded and not requested again (gateway, relay)"},
+	{416881008403, "an order was sent again because its close was acknowledged before the view showed it (replica, publish)"},
 }
 
-func TestFixedSeed(t *testing.T) { soak(t, fixedSeed, fixedSpan) }
+func TestFixedSeed(t *testing.T) { runSoak(t, fixedSeed, fixedDuration) }
 
-func TestSeedsThatFailed(t *testing.T) {
-	for _, f := range failed {
-		t.Run(fmt.Sprint(f.seed), func(t *testing.T) { soak(t, f.seed, fixedSpan) })
+func TestFailedSeeds(t *testing.T) {
+	for _, f := range failedSeeds {
+		t.Run(fmt.Sprint(f.seed), func(t *testing.T) { runSoak(t, f.seed, fixedDuration) })
 	}
 }
 
-// TestFreshSeeds runs as many fresh seeds as SOAK_SEEDS says, none without it.
+// TestFreshSeeds runs SOAK_SEEDS new random seeds, none if it is not set.
 func TestFreshSeeds(t *testing.T) {
 	count, _ := strconv.Atoi(os.Getenv("SOAK_SEEDS"))
 	seconds, err := strconv.Atoi(os.Getenv("SOAK_SECONDS"))
@@ -54,128 +53,128 @@
 	}
 	for range count {
 		seed := rand.Uint64N(1 << 40)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, seed, time.Duration(seconds)*time.Second) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed, time.Duration(seconds)*time.Second) })
 	}
 }
 
-func soak(t *testing.T, seed uint64, span time.Duration) {
-	w := newWorld(t, seed)
-	o := newOperator(w)
-	w.eventually("the first configuration is acknowledged", func() bool { return o.apply(1, w.boxes[0]) })
-	list := make([]*caller, callers)
-	for i := range list {
-		list[i] = newCaller(w, i)
+func runSoak(t *testing.T, seed uint64, duration time.Duration) {
+	h := newHarness(t, seed)
+	o := newOperator(h)
+	h.eventually("acknowledgement of the first configuration", func() bool { return o.apply(1, h.boxes[0]) })
+	callers := make([]*caller, callerCount)
+	for i := range callers {
+		callers[i] = newCaller(h, i)
 	}
-	w.allServed(list[0], "before any fault")
+	h.allServed(callers[0], "before any fault")
 
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var wg sync.WaitGroup
-	f := &faults{w: w, random: rand.New(rand.NewPCG(seed, 1))}
+	f := &faultInjector{h: h, random: rand.New(rand.NewPCG(seed, 1))}
 	wg.Go(func() { f.run(ctx) })
-	wg.Go(func() { w.limits.run(ctx, w) })
-	wg.Go(func() { w.pushback.run(ctx, w) })
+	wg.Go(func() { h.limits.run(ctx, h) })
+	wg.Go(func() { h.pushback.run(ctx, h) })
 	wg.Go(func() { o.run(ctx) })
-	for _, c := range list {
+	for _, c := range callers {
 		wg.Go(func() { c.run(ctx) })
 	}
 	wg.Wait()
 
-	w.links.heal()
-	w.allServed(list[0], "after the last fault")
-	w.eventually("every box reads back", func() bool {
-		for _, d := range w.boxes {
+	h.links.heal()
+	h.allServed(callers[0], "after the last fault")
+	h.eventually("reading the configuration from every box", func() bool {
+		for _, d := range h.boxes {
 			if !o.readBack(d) {
 				return false
 			}
 		}
 		return true
 	})
-	w.checkRuns(list)
-	w.checkLimits()
-	w.checkPushback()
-	w.report(list)
+	h.checkRuns(callers)
+	h.checkLimits()
+	h.checkPushback()
+	h.report(callers)
 }
 
-// eventually waits until ok holds.
-func (w *world) eventually(what string, ok func() bool) {
-	if w.missed {
-		return // one wait that ended in vain is enough
+// eventually waits until ok returns true, at most recoveryTimeout.
+func (h *harness) eventually(what string, ok func() bool) {
+	if h.timedOut {
+		return // further waits would only repeat the timeout
 	}
-	for end := time.Now().Add(recovers); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	w.missed = true
-	w.find("within %v it did not come true that %s", recovers, what)
+	h.timedOut = true
+	h.addFailure("timed out after %v: %s", recoveryTimeout, what)
 }
 
-// allServed wants every model served through every box.
-func (w *world) allServed(c *caller, when string) {
-	for i, d := range w.boxes {
-		for m := range models {
+// allServed checks that every model is served through every box.
+func (h *harness) allServed(c *caller, when string) {
+	for i, d := range h.boxes {
+		for m := range modelCount {
 			n := 0
-			w.eventually(fmt.Sprintf("box %s serves m%d %s", d.ip, m, when), func() bool {
+			h.eventually(fmt.Sprintf("box %s serving m%d %s", d.ip, m, when), func() bool {
 				n++
-				status, _ := c.ask(context.Background(), d, fmt.Sprintf("s%d-%s-%d-%d-%d", w.seed, when[:3], i, m, n), fmt.Sprint("m", m), false)
+				status, _ := c.send(context.Background(), d, fmt.Sprintf("s%d-%s-%d-%d-%d", h.seed, when[:3], i, m, n), fmt.Sprint("m", m), false)
 				return status == http.StatusOK
 			})
 		}
 	}
 }
 
-// checkRuns compares what callers were told with what ran.
-func (w *world) checkRuns(list []*caller) {
+// checkRuns compares the outcomes that callers received with the runs on the servers.
+func (h *harness) checkRuns(callers []*caller) {
 	runs := map[string]int{}
-	w.mu.Lock()
-	servers := w.servers
-	w.mu.Unlock()
+	h.mu.Lock()
+	servers := h.servers
+	h.mu.Unlock()
 	for _, s := range servers {
 		for id, n := range s.Runs() {
 			runs[id] += n
 		}
-		for _, fault := range s.Violations() {
-			w.find("server %s: %s", s.ID, fault)
+		for _, violation := range s.Violations() {
+			h.addFailure("server %s: %s", s.ID, violation)
 		}
 	}
-	for _, c := range list {
-		for _, id := range c.unsafe {
+	for _, c := range callers {
+		for _, id := range c.unsafeIDs {
 			if runs[id] > 1 {
-				w.find("request %s ran %d times", id, runs[id])
+				h.addFailure("non-repeatable request %s ran %d times", id, runs[id])
 			}
 		}
-		for _, id := range c.refused {
+		for _, id := range c.refusedIDs {
 			if runs[id] > 0 {
-				w.find("request %s was said not to have run, and ran", id)
+				h.addFailure("request %s was reported as not run but ran", id)
 			}
 		}
 	}
 }
 
-// report fails the test with what was found, and keeps the logs.
-func (w *world) report(list []*caller) {
+// report fails the test with the failures found, and keeps the logs of the boxes.
+func (h *harness) report(callers []*caller) {
 	served, refused := 0, 0
-	for _, c := range list {
+	for _, c := range callers {
 		served += c.served
-		refused += len(c.refused)
+		refused += len(c.refusedIDs)
 	}
-	w.t.Logf("seed %d: %d served, %d refused", w.seed, served, refused)
+	h.t.Logf("seed %d: %d served, %d refused", h.seed, served, refused)
 	if served == 0 {
-		w.find("nothing was served")
+		h.addFailure("no request was served")
 	}
-	if len(w.findings) == 0 {
+	if len(h.failures) == 0 {
 		return
 	}
-	for _, text := range w.findings {
-		w.t.Errorf("seed %d: %s", w.seed, text)
+	for _, text := range h.failures {
+		h.t.Errorf("seed %d: %s", h.seed, text)
 	}
-	folder := filepath.Join(os.TempDir(), fmt.Sprintf("leverdrum-soak-%d", w.seed))
-	for _, d := range w.boxes {
+	folder := filepath.Join(os.TempDir(), fmt.Sprintf("leverdrum-soak-%d", h.seed))
+	for _, d := range h.boxes {
 		text, err := os.ReadFile(filepath.Join(d.folder, "log"))
 		if err == nil && os.MkdirAll(folder, 0o700) == nil {
 			_ = os.WriteFile(filepath.Join(folder, d.ip+".log"), text, 0o600)
 		}
 	}
-	w.t.Logf("logs are in %s", folder)
+	h.t.Logf("logs are in %s", folder)
 }
