--- a/standin/engine.go
+++ b/standin/engine.go
@@ -68,7 +68,7 @@
 func engineFlags(f *flag.FlagSet) func() http.Handler {
 	var o EngineOptions
 	memory := f.String("memory", "64GiB", "usable memory per accelerator")
-	f.IntVar(&o.Accelerators, "accelerators", 1, "number of accelerators")
+	f.IntVar(&o.Accelerators, "accelerators", 1, "accelerators")
 	f.BoolVar(&o.ChecksFences, "checks-fences", true, "reject orders with a fence older than the newest one")
 	f.IntVar(&o.Concurrency, "concurrency", 16, "maximum number of concurrent requests")
 	f.DurationVar(&o.TokenTime, "token-time", time.Millisecond, "generation time per token")
--- a/standin/verify.go
+++ b/standin/verify.go
@@ -64,7 +64,7 @@
 	return verifyService(entry, c.service)
 }
 
-// awaitReady sends requests, which create demand, until the model responds with 200.
+// awaitReady polls with chat requests until the model responds with 200; a refused request returns at once.
 func (c *verifyCommand) awaitReady(ctx context.Context, entry, model string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.wait)
 	defer cancel()
