--- a/box/answer.go
+++ b/box/answer.go
@@ -8,16 +8,16 @@
 	"leverdrum/wire"
 )
 
-func notReady() *wire.Response {
+func notReadyResponse() *wire.Response {
 	return &wire.Response{Refusal: &wire.Refusal{Code: reason.PeerNotLeader.Code, Text: "the box has not found its cluster yet"}}
 }
 
-func (b *Box) answer(ctx context.Context, p *parts, from *wire.Member, r *wire.Request) *wire.Response {
+func (b *Box) dispatch(ctx context.Context, p *components, from *wire.Member, r *wire.Request) *wire.Response {
 	switch k := r.Kind.(type) {
 	case *wire.Request_Follow:
 		u, err := p.spread.AnswerFollow(ctx, from, k.Follow)
 		if err != nil {
-			return notReady()
+			return notReadyResponse()
 		}
 		return &wire.Response{Kind: &wire.Response_Follow{Follow: u}}
 	case *wire.Request_Probe:
@@ -27,17 +27,17 @@
 	case *wire.Request_Quota:
 		q := p.quotas
 		if k.Quota.Servers {
-			q = p.limits
+			q = p.serverLimits
 		}
-		return &wire.Response{Kind: &wire.Response_Quota{Quota: q.answer(from.GetBox(), k.Quota)}}
+		return &wire.Response{Kind: &wire.Response_Quota{Quota: q.grantLeases(from.GetBox(), k.Quota)}}
 	}
-	return p.guard.HandleRequest(r)
+	return p.claims.HandleRequest(r)
 }
 
-func (b *Box) answerForward(ctx context.Context, p *parts, f *wire.Forward) *wire.Response {
+func (b *Box) answerForward(ctx context.Context, p *components, f *wire.Forward) *wire.Response {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(f.DeadlineMs)*time.Millisecond)
 	defer cancel()
-	a, err := lead(ctx, p, f)
+	a, err := executeAsLeader(ctx, p, f)
 	if err != nil {
 		return &wire.Response{Refusal: &wire.Refusal{Code: reason.PeerNotLeader.Code, Text: reason.PeerNotLeader.Title}}
 	}
--- a/box/box.go
+++ b/box/box.go
@@ -1,5 +1,5 @@
-// Package box puts the parts of one box together and runs them until it is
-// stopped. The daemon is a few lines over it.
+// Package box assembles the components of one box and runs them until the box is
+// stopped. The daemon is a thin wrapper around it.
 package box
 
 import (
@@ -45,72 +45,73 @@
 )
 
 const (
-	// recordLimit is how many decisions of each kind a box remembers.
+	// recordLimit is the number of decisions of each kind that a box keeps.
 	recordLimit = 4096
-	// readHeaderTimeout bounds operators' headers.
+	// readHeaderTimeout bounds reading the headers of operators' requests.
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
-	// idleTimeout is how long a caller's connection may be idle.
+	// idleTimeout bounds how long a caller's connection may be idle.
 	idleTimeout = 2 * time.Minute
 )
 
 // Box is one running box.
 type Box struct {
-	settings *settings.Settings
-	log      *zap.Logger
-	meters   *meter.Meters
-	records  *record.Book
-	clock    *clock.Clock // begins with the process
-	store    *wal.Store
-	id       *identity
-	pool     *peer.Pool
-	peers    *peer.Server
-	parts    atomic.Pointer[parts]
-	stopping atomic.Bool
-	// warm is set once the routes hold what was in force when the box first was
-	// current.
-	warm atomic.Bool
+	settings   *settings.Settings
+	log        *zap.Logger
+	meters     *meter.Meters
+	records    *record.Book
+	clock      *clock.Clock // starts with the process
+	store      *wal.Store
+	id         *identity
+	pool       *peer.Pool
+	peers      *peer.Server
+	components atomic.Pointer[components]
+	stopping   atomic.Bool
+	// routesInitialized is set once the routes include the state that was in force when
+	// the box first became current.
+	routesInitialized atomic.Bool
 
 	operatorHTTP *http.Server
 	entryHTTP    *http.Server
-	// others serve what only some boxes have.
-	others []*http.Server
-	// callers are asked where the settings name nobody that runs.
+	// auxiliaryHTTP are the optional servers: readiness and platform.
+	auxiliaryHTTP []*http.Server
+	// callers are contacted if no box named in the settings is running.
 	callers callers
-	// strange paces lines on words that name no server.
-	strange pace
-	// boxes are the newest addresses by the settings, nil before a reload.
-	boxes  atomic.Pointer[map[string]string]
-	fatal  chan error
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	// invalidCallLog limits the logging of calls that name no server.
+	invalidCallLog logLimiter
+	// reloadedBoxes are the box addresses of the last settings reload, nil before one.
+	reloadedBoxes atomic.Pointer[map[string]string]
+	fatal         chan error
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
 }
 
-// parts are what works once the box belongs to a cluster.
-type parts struct {
-	regions   map[string]string // of data halls, by the settings
-	replica   *replica.Replica
-	spread    *spread.Distributor
-	directory *route.Directory
-	entry     *entry.Entry
-	admin     *admin.Admin
-	control   *control.Controller
-	guard     *keyed.ClaimReplica
-	gateway   *gateway.Gateway
-	platform  http.Handler
-	notices   chan gateway.Notice
-	crashes   *crashes
-	quotas    *quotas
-	limits    *quotas // that servers name
-	throttle  *throttle.Throttle
-	pushback  *pushback.Registry
-	drains    *drains
-	// accept is how long an apply waits for the boxes.
-	accept spread.AckTimeouts
+// components run once the box belongs to a cluster.
+type components struct {
+	regions      map[string]string // data hall -> region, from the settings
+	replica      *replica.Replica
+	spread       *spread.Distributor
+	directory    *route.Directory
+	entry        *entry.Entry
+	admin        *admin.Admin
+	control      *control.Controller
+	claims       *keyed.ClaimReplica
+	gateway      *gateway.Gateway
+	platform     http.Handler
+	notices      chan gateway.Notice
+	crashes      *crashReporter
+	quotas       *sharedLimits
+	serverLimits *sharedLimits // limits that servers announce
+	throttle     *throttle.Throttle
+	pushback     *pushback.Registry
+	drains       *drainReporter
+	// ackTimeouts bound how long an apply waits for the boxes.
+	ackTimeouts spread.AckTimeouts
 }
 
-// Start opens everything and returns once the box listens. It goes on in the
-// background until Stop or Kill; Fatal tells when it cannot go on.
+// Start opens the data folder and the listeners, and returns once the box listens.
+// The box runs in the background until Stop or Kill; Fatal reports an
+// unrecoverable error.
 func Start(s *settings.Settings, tls peer.TLS, log *zap.Logger) (*Box, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Box{
@@ -181,24 +182,24 @@
 			serve = func() error { return s.ServeTLS(l, "", "") }
 		}
 		if err := serve(); !errors.Is(err, http.ErrServerClosed) {
-			b.fail(Error.Wrap(err))
+			b.reportFatal(Error.Wrap(err))
 		}
 	})
 	return nil
 }
 
 func (b *Box) serveOperator(w http.ResponseWriter, r *http.Request) {
-	if p := b.parts.Load(); p != nil {
+	if p := b.components.Load(); p != nil {
 		p.admin.ServeHTTP(w, r)
 		return
 	}
-	starting(w, r)
+	serveStarting(w, r)
 }
 
 func (b *Box) serveEntry(w http.ResponseWriter, r *http.Request) {
-	switch p := b.parts.Load(); {
+	switch p := b.components.Load(); {
 	case p == nil:
-		starting(w, r)
+		serveStarting(w, r)
 	case b.settings.Dialect == settings.DialectPlatform, p.gateway.HasRoutes():
 		p.gateway.ServeHTTP(w, r)
 	default:
@@ -206,8 +207,8 @@
 	}
 }
 
-// starting answers while the box has not found its cluster.
-func starting(w http.ResponseWriter, r *http.Request) {
+// serveStarting responds to requests while the box has not found its cluster.
+func serveStarting(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/healthz" {
 		return
 	}
@@ -216,15 +217,15 @@
 	http.Error(w, "the box has not found its cluster yet", http.StatusServiceUnavailable)
 }
 
-// lookup returns the box-to-box address of a box: as agreed, else as set, else as the box told when
-// it called.
+// lookup returns the box-to-box address of a box: from the committed state, else from the settings,
+// else as the box reported when it called.
 func (b *Box) lookup(box string) string {
-	if p := b.parts.Load(); p != nil {
+	if p := b.components.Load(); p != nil {
 		if m := p.replica.View().Members[box]; m != nil {
 			return m.PeerAddress
 		}
 	}
-	if address := b.known()[box]; address != "" {
+	if address := b.knownAddresses()[box]; address != "" {
 		return address
 	}
 	if address := b.settings.AddressOf(box); address != "" {
@@ -233,64 +234,64 @@
 	return b.callers.address(box)
 }
 
-// meet calls on a box, so that one which lost its state with its last process
-// learns of the cluster again and whom to ask.
-func (b *Box) meet(ctx context.Context, box string) {
+// openSession probes a box, so that one that lost its state when its last process
+// ended learns of the cluster again, and of a box to get the state from.
+func (b *Box) openSession(ctx context.Context, box string) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	// Tried again while the box is silent.
+	// Retried while the box is unresponsive.
 	_, _ = b.pool.Call(ctx, box, &wire.Request{Kind: &wire.Request_Probe{Probe: &wire.Probe{Member: state.MemberID(b.id.Self())}}})
 }
 
-// known returns the addresses of boxes by the settings.
-func (b *Box) known() map[string]string {
-	if m := b.boxes.Load(); m != nil {
+// knownAddresses returns the addresses of boxes from the latest settings.
+func (b *Box) knownAddresses() map[string]string {
+	if m := b.reloadedBoxes.Load(); m != nil {
 		return *m
 	}
 	return b.settings.Boxes
 }
 
-// Reload takes over the addresses of known boxes; all else stays as it was at the
-// start.
-func (b *Box) Reload(s *settings.Settings) { b.boxes.Store(&s.Boxes) }
+// Reload adopts the addresses of known boxes; all other settings stay as they were at
+// the start.
+func (b *Box) Reload(s *settings.Settings) { b.reloadedBoxes.Store(&s.Boxes) }
 
-// run finds the cluster and then keeps all parts going until the context ends.
+// run finds the cluster and then runs all components until the context ends.
 func (b *Box) run(ctx context.Context) {
 	if err := b.awaitCluster(ctx); err != nil {
 		if ctx.Err() == nil {
-			b.fail(err)
+			b.reportFatal(err)
 		}
 		return
 	}
 	p, err := b.assemble()
 	if err != nil {
-		b.fail(err)
+		b.reportFatal(err)
 		return
 	}
-	b.parts.Store(p)
+	b.components.Store(p)
 	event.ClusterJoined.Log(b.log, zap.String("member", p.replica.ID()))
 	var wg sync.WaitGroup
 	if b.store != nil {
-		wg.Go(func() { b.tellFormed(ctx) })
+		wg.Go(func() { b.announceCluster(ctx) })
 	}
 	wg.Go(func() { p.spread.Run(ctx) })
 	wg.Go(func() { p.control.Run(ctx) })
-	wg.Go(func() { p.guard.Run(ctx) })
-	wg.Go(func() { b.keepDirectory(ctx, p) })
-	wg.Go(func() { b.keepMembership(ctx, p) })
-	wg.Go(func() { b.readPlatform(ctx, p) })
-	wg.Go(func() { b.readReports(ctx, p) })
-	wg.Go(func() { b.tellLeader(ctx, p) })
+	wg.Go(func() { p.claims.Run(ctx) })
+	wg.Go(func() { b.updateDirectory(ctx, p) })
+	wg.Go(func() { b.maintainMembership(ctx, p) })
+	wg.Go(func() { b.pollPlatform(ctx, p) })
+	wg.Go(func() { b.pollReports(ctx, p) })
+	wg.Go(func() { b.forwardNotices(ctx, p) })
 	wg.Go(func() { p.quotas.limiter.Run(ctx) })
-	wg.Go(func() { p.limits.limiter.Run(ctx) })
-	wg.Go(func() { p.tellRests(ctx) })
+	wg.Go(func() { p.serverLimits.limiter.Run(ctx) })
+	wg.Go(func() { p.forwardBackoffs(ctx) })
 	wg.Go(func() { p.drains.run(ctx, (&forwarder{b, p}).Forward) })
 	wg.Go(func() { p.crashes.run(ctx, (&forwarder{b, p}).Forward) })
 	wg.Wait()
 	p.replica.Close()
 }
 
-func (b *Box) assemble() (*parts, error) {
+func (b *Box) assemble() (*components, error) {
 	s := b.settings
 	self := b.id.Self()
 	var storage replica.Storage = replica.MemoryStorage{}
@@ -301,14 +302,14 @@
 		Core: consensus.Options{
 			ID: self.Box + "/" + self.Incarnation, ElectionMin: s.Election, Heartbeat: s.Heartbeat, Lease: s.Lease, Seed: uint64(time.Now().UnixNano()),
 		},
-		Storage: storage, Send: b.pool.Send, CompactAfter: s.CompactAfter, Clock: b.clock.Now, Fatal: b.fail, Log: b.log,
+		Storage: storage, Send: b.pool.Send, CompactAfter: s.CompactAfter, Clock: b.clock.Now, Fatal: b.reportFatal, Log: b.log,
 	})
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	p := &parts{replica: r, regions: s.Regions, directory: route.NewDirectory(s.Hall), accept: spread.AckTimeouts{AllBoxes: s.AcceptWait, Majority: s.AcceptMost}, notices: make(chan gateway.Notice, noticesLength)}
-	b.id.follow(func() level.Level { return r.View().Level })
-	p.crashes = newCrashes(state.ProcessID(self), b.log, b.meters)
+	p := &components{replica: r, regions: s.Regions, directory: route.NewDirectory(s.Hall), ackTimeouts: spread.AckTimeouts{AllBoxes: s.AcceptWait, Majority: s.AcceptMost}, notices: make(chan gateway.Notice, maxQueuedNotices)}
+	b.id.setLevelSource(func() level.Level { return r.View().Level })
+	p.crashes = newCrashReporter(state.ProcessID(self), b.log, b.meters)
 	p.spread = spread.New(spread.Options{
 		Replica: r, Client: b.pool, Self: self, Seeds: slices.Sorted(maps.Keys(s.Boxes)), ConfigLease: s.ConfigLease,
 		RecentCallers: func() []string {
@@ -321,9 +322,9 @@
 		Log:    b.log,
 	})
 	allowed := func() bool { _, held := r.Lease(); return held }
-	p.limits = newQuotas(leased{servers: true, since: level.ServerLimits, window: serverWindow}, self, r, p.spread, b.pool)
-	p.throttle = throttle.New(throttle.Options{Limiter: p.limits.limiter, View: r.View, ReportLimit: p.tellLimit, Meters: b.meters, Log: b.log})
-	p.drains = newDrains(p, b.log)
+	p.serverLimits = newSharedLimits(limitKind{servers: true, minLevel: level.ServerLimits, window: serverWindow}, self, r, p.spread, b.pool)
+	p.throttle = throttle.New(throttle.Options{Limiter: p.serverLimits.limiter, View: r.View, ReportLimit: p.forwardLimit, Meters: b.meters, Log: b.log})
+	p.drains = newDrainReporter(p, b.log)
 	p.pushback = pushback.New(pushback.Options{
 		Now: clock.New().Now, Throttle: p.throttle, Boxes: func() int { return len(r.View().Members) }, OnDraining: p.drains.add, Log: b.log,
 	})
@@ -331,15 +332,15 @@
 	engines := engine.NewClient(allowed, p.pushback)
 	p.control = control.New(control.Options{
 		Replica: r, Spread: p.spread, Engines: engines.At,
-		TerminatedServers: p.directory.TerminatedServers, OpenSession: b.meet, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
+		TerminatedServers: p.directory.TerminatedServers, OpenSession: b.openSession, WantedVoters: cmp.Or(s.Voters, len(s.FirstMembers)), RepairAfter: s.RepairAfter, UpgradeSettleTime: s.UpgradeSettles,
 		Counting: platform.NewEngines(allowed, p.pushback), InBackoff: func(server string) bool { return !p.pushback.Sendable(server) }, Holder: s.Box, OrderPause: s.OrderPause, DemandSettleTime: s.DemandSettles, VotersNeedDisks: s.VotersNeedDisks, NeverLeads: s.VotersNeedDisks && b.store == nil,
 		Records: b.records, Meters: b.meters, Log: b.log,
 	})
-	p.guard = keyed.New(state.ProcessID(self), r, b.pool, b.meters)
-	p.quotas = newQuotas(leased{since: level.Workspaces, window: s.QuotaWindow}, self, r, p.spread, b.pool)
+	p.claims = keyed.New(state.ProcessID(self), r, b.pool, b.meters)
+	p.quotas = newSharedLimits(limitKind{minLevel: level.Workspaces, window: s.QuotaWindow}, self, r, p.spread, b.pool)
 	p.entry = entry.New(entry.Options{
-		Directory: p.directory, View: r.View, Current: func() bool { return b.warm.Load() && p.spread.Current() }, Sender: proxy.NewSender(),
-		Meters: b.meters, Records: b.records, MaxBody: s.MaxBody, BodyTimeout: s.BodyTimeout, Guard: p.guard,
+		Directory: p.directory, View: r.View, Current: func() bool { return b.routesInitialized.Load() && p.spread.Current() }, Sender: proxy.NewSender(),
+		Meters: b.meters, Records: b.records, MaxBody: s.MaxBody, BodyTimeout: s.BodyTimeout, Guard: p.claims,
 		Crashes: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
 	})
 	p.gateway = b.newGateway(p)
@@ -351,9 +352,10 @@
 	return p, nil
 }
 
-// ready says whether the balancer should send requests here.
+// ready reports whether the load balancer should send requests to this box, and why
+// not.
 func (b *Box) ready() (bool, string) {
-	p := b.parts.Load()
+	p := b.components.Load()
 	switch {
 	case b.stopping.Load():
 		return false, "stopping"
@@ -361,7 +363,7 @@
 		return false, "no cluster"
 	case p.replica.View().Fleet == nil, p.directory.Table().Models == nil, !p.gateway.Ready():
 		return false, "no fleet file"
-	case !b.warm.Load(), !p.spread.Current():
+	case !b.routesInitialized.Load(), !p.spread.Current():
 		b.meters.Gauge(meter.Current).Set(0)
 		return false, "not current"
 	}
@@ -369,20 +371,20 @@
 	return true, "ready"
 }
 
-func (b *Box) fail(err error) {
+func (b *Box) reportFatal(err error) {
 	select {
 	case b.fatal <- err:
 	default:
 	}
 }
 
-// Fatal tells when the box cannot go on.
+// Fatal returns a channel that receives the error after which the box cannot continue.
 func (b *Box) Fatal() <-chan error { return b.fatal }
 
-// OperatorAddress returns where operators reach the box.
+// OperatorAddress returns the listen address for operators.
 func (b *Box) OperatorAddress() string { return b.settings.OperatorListen }
 
-// Answer answers another box. It implements peer.Handler.
+// Answer handles a request of another box. It implements peer.Handler.
 func (b *Box) Answer(ctx context.Context, from *wire.Member, r *wire.Request) *wire.Response {
 	if f := r.GetForm(); f != nil {
 		err := b.id.Adopt(f.ClusterId)
@@ -391,16 +393,16 @@
 	if from.GetBox() != "" {
 		b.callers.record(from)
 	}
-	p := b.parts.Load()
+	p := b.components.Load()
 	if p == nil {
-		return notReady()
+		return notReadyResponse()
 	}
-	return b.answer(ctx, p, from, r)
+	return b.dispatch(ctx, p, from, r)
 }
 
-// Receive hands a message to the agreement. It implements peer.Handler.
+// Receive passes a message to the consensus replica. It implements peer.Handler.
 func (b *Box) Receive(m *wire.Message) {
-	if p := b.parts.Load(); p != nil {
+	if p := b.components.Load(); p != nil {
 		p.replica.Receive(m)
 	}
 }
--- a/box/callers.go
+++ b/box/callers.go
@@ -7,11 +7,12 @@
 	"leverdrum/wire"
 )
 
-// maxCallers bounds the boxes of each kind that are remembered.
+// maxCallers bounds the number of boxes of each kind (with and without a disk) that are
+// kept.
 const maxCallers = 8
 
-// callers remembers the boxes that called here last, the newest first. They know the cluster when
-// the settings name only boxes that do not.
+// callers keeps the boxes that called this one most recently, the newest first. They know the
+// cluster when the settings name only boxes that do not.
 type callers struct {
 	mu            sync.Mutex
 	disks, others []*wire.Member // boxes with a disk, and without
@@ -21,34 +22,35 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m.Disk {
-		c.disks = withFirst(c.disks, m)
+		c.disks = moveToFront(c.disks, m)
 		return
 	}
-	c.others = withFirst(c.others, m)
+	c.others = moveToFront(c.others, m)
 }
 
-// withFirst returns a list that begins with a box, and holds it once.
-func withFirst(list []*wire.Member, first *wire.Member) []*wire.Member {
+// moveToFront returns the list with a box at its front and no other entry of that box.
+func moveToFront(list []*wire.Member, first *wire.Member) []*wire.Member {
 	rest := slices.DeleteFunc(list, func(m *wire.Member) bool { return m.Box == first.Box })
 	list = append([]*wire.Member{first}, rest...)
 	return list[:min(len(list), maxCallers)]
 }
 
-// withDisk lists boxes that may know the leader.
+// withDisk returns the callers with a disk, which may know the leader.
 func (c *callers) withDisk() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return names(c.disks)
+	return boxNames(c.disks)
 }
 
-// all adds the boxes without a disk, which have the agreed state also where no box with a disk runs.
+// all returns the callers with and without a disk. The latter have the replicated state even if no
+// box with a disk is running.
 func (c *callers) all() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return names(slices.Concat(c.disks, c.others))
+	return boxNames(slices.Concat(c.disks, c.others))
 }
 
-// address returns where a box is reached by its own account, "" where it did not call.
+// address returns the address that a box advertised when it called, "" if it did not call.
 func (c *callers) address(box string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +62,7 @@
 	return ""
 }
 
-func names(list []*wire.Member) []string {
+func boxNames(list []*wire.Member) []string {
 	boxes := make([]string, len(list))
 	for i, m := range list {
 		boxes[i] = m.Box
--- a/box/crasher_test.go
+++ b/box/crasher_test.go
@@ -21,35 +21,35 @@
 	"leverdrum/settings"
 )
 
-// several is a cluster of one box with a disk and others without, before servers that end under
-// requests whose body is deadly and start again, under another id, at their address.
-type several struct {
-	*one
+// multiBox is a cluster of one box with a disk and others without. Its servers terminate during
+// requests with a deadly body and start again with another ID at the same address.
+type multiBox struct {
+	*singleBox
 	entries []string
 
-	mu      sync.Mutex
-	started int
-	ended   int
-	deadly  map[string]bool
-	servers []*standin.Server
-	closed  bool
-	// reborn has servers start again under the id that they had, with a later birth.
-	reborn bool
-	// deadlyModel is one under whose load servers end.
+	mu         sync.Mutex
+	started    int
+	terminated int
+	deadly     map[string]bool
+	servers    []*standin.Server
+	closed     bool
+	// reuseIDs makes servers restart with the same ID and a later start time.
+	reuseIDs bool
+	// deadlyModel is a model whose load terminates a server.
 	deadlyModel string
-	model       string // that is asked for, m1 where it is ""
-	// limits are what servers name as theirs, by id.
+	model       string // requested model, m1 if ""
+	// limits are the limits that servers announce, by ID.
 	limits map[string]string
-	// rests are the Retry-After with which servers turn all requests away, leaves tells which say that they end, by id.
-	rests  map[string]string
-	leaves map[string]bool
+	// retryAfter is the Retry-After with which servers reject all requests, draining whether they announce draining, by ID.
+	retryAfter map[string]string
+	draining   map[string]bool
 }
 
-// restartAfter is how long a server that ended is away.
+// restartAfter is the time until a terminated server restarts.
 const restartAfter = 300 * time.Millisecond
 
-func startSeveral(t *testing.T, others int) *several {
-	s := &several{one: startOne(t), deadly: map[string]bool{}, limits: map[string]string{}, rests: map[string]string{}, leaves: map[string]bool{}}
+func startMultiBox(t *testing.T, others int) *multiBox {
+	s := &multiBox{singleBox: startSingleBox(t), deadly: map[string]bool{}, limits: map[string]string{}, retryAfter: map[string]string{}, draining: map[string]bool{}}
 	s.entries = []string{s.entry}
 	for i := range others {
 		s.entries = append(s.entries, s.startEntry(i))
@@ -58,11 +58,11 @@
 	return s
 }
 
-// startEntry starts a box without a disk, and returns where callers reach it.
-func (s *several) startEntry(i int) string {
+// startEntry starts a box without a disk and returns its entry address.
+func (s *multiBox) startEntry(i int) string {
 	ip := fmt.Sprintf("127.%d%s", 128+i, ownIP[strings.Index(ownIP[4:], ".")+4:])
 	entry := addressAt(s.t, ip)
-	_, port, err := net.SplitHostPort(s.settings.PeerListen) // the same at all boxes
+	_, port, err := net.SplitHostPort(s.settings.PeerListen) // the same for all boxes
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -79,8 +79,9 @@
 	return entry
 }
 
-// server starts a server that holds models, at an address or, where that is "", at any. id is that of its life before.
-func (s *several) server(id, at string, models ...string) {
+// server starts a server with resident models at an address, or at any if that is "". id is the ID of its previous
+// incarnation.
+func (s *multiBox) server(id, at string, models ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -105,26 +106,26 @@
 	v.TurnAway = func(string) string {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.rests[v.ID]
+		return s.retryAfter[v.ID]
 	}
 	v.Leaves = func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.leaves[v.ID]
+		return s.draining[v.ID]
 	}
 	v.Crashed = func() {
 		s.mu.Lock()
-		s.ended++
+		s.terminated++
 		s.mu.Unlock()
 		holds := models
-		if s.reborn {
-			holds = nil // it has lost what it held
+		if s.reuseIDs {
+			holds = nil // the restarted server has no resident models
 		}
 		time.AfterFunc(restartAfter, func() { s.server(v.ID, v.At(), holds...) })
 	}
-	if s.reborn {
+	if s.reuseIDs {
 		v.Born = uint64(time.Now().UnixMilli())
-		v.Said = 1000 // minutes of its first life
+		v.Said = 1000 // announcements that its first incarnation has already counted
 		if id != "" {
 			v.ID, v.Said = id, 0
 		}
@@ -136,7 +137,7 @@
 	s.servers = append(s.servers, v)
 }
 
-func (s *several) close() {
+func (s *multiBox) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -145,14 +146,14 @@
 	}
 }
 
-func (s *several) endedSoFar() int {
+func (s *multiBox) terminatedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended
+	return s.terminated
 }
 
-// status is what operators are told.
-func (s *several) status() (status admin.Status) {
+// status returns the operators' status.
+func (s *multiBox) status() (status admin.Status) {
 	resp, err := http.Get("http://" + s.box.OperatorAddress() + admin.StatusPath)
 	if err != nil {
 		s.t.Error(err)
@@ -165,25 +166,25 @@
 	return status
 }
 
-// held returns the prints that the operators' status lists as kept from servers.
-func (s *several) held() (prints []string) {
+// blockedFingerprints returns the fingerprints that the operators' status lists as blocked.
+func (s *multiBox) blockedFingerprints() (prints []string) {
 	for _, h := range s.status().Held {
 		prints = append(prints, h.Print)
 	}
 	return prints
 }
 
-// answer is what a caller got.
+// answer is a caller's view of a response.
 type answer struct {
-	status int
-	reason string
-	after  string // Retry-After
-	took   time.Duration
-	whole  bool
+	status   int
+	reason   string
+	after    string // Retry-After
+	took     time.Duration
+	complete bool
 }
 
-// send sends a request to the nth box, counted round.
-func (s *several) send(n int, id, path, body string) answer {
+// send sends a request to box n modulo the number of boxes.
+func (s *multiBox) send(n int, id, path, body string) answer {
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.entries[n%len(s.entries)]+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Error(err)
@@ -191,7 +192,7 @@
 	}
 	req.Host = "h.example"
 	req.Header.Set("Leverdrum-Request-Id", id)
-	req.Header.Set("Leverdrum-Deadline-Ms", fmt.Sprint(15000+n)) // what is left differs each time
+	req.Header.Set("Leverdrum-Deadline-Ms", fmt.Sprint(15000+n)) // the remaining time differs for each request
 	req.Header.Set("Leverdrum-Model", cmp.Or(s.model, "m1"))
 	req.Header.Set(standin.HeaderVia, s.entries[n%len(s.entries)])
 	began := time.Now()
@@ -204,102 +205,102 @@
 	return answer{resp.StatusCode, resp.Header.Get("X-Leverdrum-Reason"), resp.Header.Get("Retry-After"), time.Since(began), err == nil && strings.Contains(string(text), "id: 3\n")}
 }
 
-// up applies a configuration and waits until each box serves.
-func (s *several) up(servers int) {
+// startServers applies a configuration, starts servers and waits until each box serves requests.
+func (s *multiBox) startServers(servers int) {
 	g := NewWithT(s.t)
-	g.Eventually(func() int { return s.apply(config(1, "m1", "m2")) }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return s.apply(config(1, "m1", "m2")) }, testTimeout).Should(Equal(http.StatusOK))
 	for range servers {
 		s.server("", "", "m1")
 	}
 	for n := range s.entries {
-		g.Eventually(func() bool { return s.send(n, "first", "/a/first", "first").whole }, within).Should(BeTrue())
+		g.Eventually(func() bool { return s.send(n, "first", "/a/first", "first").complete }, testTimeout).Should(BeTrue())
 	}
 }
 
-// A request under which each server that begins to run it ended came again and again, with the same path
-// and body and another id each time, at all boxes: 27 and 39 servers ended in two cases. Nothing that
-// a box had seen of a request outlived the attempt: which servers had broken off stood in the attempt alone,
-// and no box told another. The print that lines on broken sendings carry, made of path, model and body, was the
-// same for attempts under different ids at different boxes, which proved it.
+// Guards against a request that terminates each server that starts to run it and is repeated at all boxes with the same
+// path and body but another ID each time: 27 and 39 servers terminated in two cases. Which servers had failed was
+// recorded only in the attempt, and no box told another. The fingerprint made of path, model and body is the same for
+// all these attempts.
 //
-// Three servers must do to know such a request, and those that it reaches before all boxes know: as
-// many again at most.
-func TestARequestThatCrashesServersIsStopped(t *testing.T) {
-	s := startSeveral(t, 2)
+// Three terminated servers must suffice to block such a request. At most as many again may terminate before all boxes
+// know of the block.
+func TestCrashingRequestBlocked(t *testing.T) {
+	s := startMultiBox(t, 2)
 	g := NewWithT(t)
-	s.up(8)
+	s.startServers(8)
 	s.mu.Lock()
 	s.deadly["boom"] = true
 	s.mu.Unlock()
 
-	innocents := make(chan struct{})
+	stopOthers := make(chan struct{})
 	var served, asked int
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for n := 0; ; n++ {
 			select {
-			case <-innocents:
+			case <-stopOthers:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
 			asked++
-			if s.send(n, fmt.Sprint("innocent-", n), fmt.Sprint("/a/innocent-", n), "body").whole {
+			if s.send(n, fmt.Sprint("innocent-", n), fmt.Sprint("/a/innocent-", n), "body").complete {
 				served++
 			}
 		}
 	})
-	const most = 6 // three that show it, and as many again
+	const maxTerminated = 6 // three as evidence, and as many again
 	var last []answer
 	for n := range 30 {
 		last = append(last, s.send(n, fmt.Sprint("attempt-", n), "/a/x?q=1", "boom"))
 		time.Sleep(100 * time.Millisecond)
 	}
-	close(innocents)
+	close(stopOthers)
 	wg.Wait()
-	t.Logf("%d servers ended, %d of %d other requests were served", s.endedSoFar(), served, asked)
-	g.Expect(s.endedSoFar()).To(BeNumerically("<=", most))
-	g.Expect(s.endedSoFar()).To(BeNumerically(">=", 1), "else the test proves nothing")
-	for i, a := range last[len(last)-3:] { // one at each box
+	t.Logf("%d servers terminated, %d of %d other requests were served", s.terminatedCount(), served, asked)
+	g.Expect(s.terminatedCount()).To(BeNumerically("<=", maxTerminated))
+	g.Expect(s.terminatedCount()).To(BeNumerically(">=", 1), "else the test proves nothing")
+	for i, a := range last[len(last)-3:] { // one for each box
 		g.Expect(a.status).To(Equal(http.StatusUnprocessableEntity), "box %d", i)
 		g.Expect(a.reason).To(Equal("crashes-servers"))
-		g.Expect(a.after).To(BeEmpty(), "to come back is of no use")
-		g.Expect(a.took).To(BeNumerically("<", time.Second), "refused at once")
+		g.Expect(a.after).To(BeEmpty(), "a retry cannot succeed")
+		g.Expect(a.took).To(BeNumerically("<", time.Second), "refused immediately")
 	}
 	g.Expect(served).To(BeNumerically(">=", asked*8/10))
-	g.Expect(s.held()).To(HaveLen(1), "operators are told")
-	s.restart() // what is held comes back with the agreed state
-	g.Eventually(func() bool { return s.send(0, "first", "/a/first", "first").whole }, within).Should(BeTrue())
-	before := s.endedSoFar()
+	g.Expect(s.blockedFingerprints()).To(HaveLen(1), "the status lists the block")
+	s.restart() // blocks are part of the replicated state
+	g.Eventually(func() bool { return s.send(0, "first", "/a/first", "first").complete }, testTimeout).Should(BeTrue())
+	before := s.terminatedCount()
 	for n := range s.entries {
 		g.Expect(s.send(n, "after-restart", "/a/x?q=1", "boom").reason).To(Equal("crashes-servers"))
 	}
-	g.Expect(s.endedSoFar()).To(Equal(before))
+	g.Expect(s.terminatedCount()).To(Equal(before))
 
-	for n := range s.entries { // whatever differs in path or body is another request
-		g.Expect(s.send(n, "other-path", "/a/y", "first").whole).To(BeTrue())
-		g.Expect(s.send(n, "other-body", "/a/x?q=1", "harmless").whole).To(BeTrue())
+	for n := range s.entries { // a different path or body makes another request
+		g.Expect(s.send(n, "other-path", "/a/y", "first").complete).To(BeTrue())
+		g.Expect(s.send(n, "other-body", "/a/x?q=1", "harmless").complete).To(BeTrue())
 	}
 }
 
-// Servers that start again under the id that they had, empty and with their counts at 0: what was known of the life
-// before is not taken for true of the next one, which is served and ordered like any other.
-func TestServersBornAgainUnderTheirID(t *testing.T) {
-	s := startSeveral(t, 1)
-	s.reborn = true
+// Servers may restart with the same ID, without resident models and with their counters at 0. The state of the previous
+// incarnation must not be applied to the next one, which gets requests and orders like any other server.
+func TestServersRestartedWithSameID(t *testing.T) {
+	s := startMultiBox(t, 1)
+	s.reuseIDs = true
 	g := NewWithT(t)
-	s.up(4)
+	s.startServers(4)
 	s.mu.Lock()
 	for n := range 4 {
 		s.deadly[fmt.Sprint("boom-", n)] = true
 	}
 	s.mu.Unlock()
-	for n := range 4 { // each ends two servers
+	for n := range 4 { // each terminates two servers
 		s.send(n, fmt.Sprint("attempt-", n), "/a/x?q=1", fmt.Sprint("boom-", n))
 	}
-	g.Expect(s.endedSoFar()).To(BeNumerically(">=", 4), "all have ended")
-	// No word of the life before is waited for: its silence takes 3.3 s, and its count of words, 1000, some 100 s.
+	g.Expect(s.terminatedCount()).To(BeNumerically(">=", 4), "all have terminated")
+	// No announcement of the previous incarnation may be waited for: it is unresponsive only after 3.3 s, and reaching its
+	// announcement count of 1000 takes about 100 s.
 	var last answer
-	g.Eventually(func() bool { last = s.send(0, "later", "/a/later", "body"); return last.whole }, 8*time.Second).
+	g.Eventually(func() bool { last = s.send(0, "later", "/a/later", "body"); return last.complete }, 8*time.Second).
 		Should(BeTrue(), func() string { return fmt.Sprintf("%+v, %+v", last, s.status()) })
 	for n := range 40 {
 		s.send(n, fmt.Sprint("many-", n), fmt.Sprint("/a/many-", n), "body")
@@ -309,41 +310,41 @@
 	for _, v := range s.servers {
 		g.Expect(v.Faults()).To(BeEmpty(), v.ID)
 	}
-	lives := map[string]bool{}
+	ids := map[string]bool{}
 	for _, v := range s.servers {
-		lives[v.ID] = true
+		ids[v.ID] = true
 	}
-	g.Expect(len(lives)).To(BeNumerically("<", len(s.servers)), "some server was born again")
+	g.Expect(len(ids)).To(BeNumerically("<", len(s.servers)), "some server has restarted with its ID")
 }
 
-// Servers that ended while they carried out an order got none for 13 s after their start, as if that order could still arrive,
-// although they had answered it: where all of them had, nothing was served.
-func TestServersThatEndInALoadServeSoonAfterTheirStart(t *testing.T) {
-	s := startSeveral(t, 0)
-	s.reborn, s.deadlyModel = true, "m2"
+// Guards against servers that terminate while executing an order and get none for 13 s after their restart, as if that order
+// could still arrive although they had acknowledged it: if this affected all servers, no request was served.
+func TestServersTerminatedByLoadServeAfterRestart(t *testing.T) {
+	s := startMultiBox(t, 0)
+	s.reuseIDs, s.deadlyModel = true, "m2"
 	g := NewWithT(t)
-	s.up(3)
+	s.startServers(3)
 	s.model = "m2"
-	g.Eventually(func() int { s.send(0, "deadly", "/a/x", "body"); return s.endedSoFar() }, within).Should(BeNumerically(">=", 3))
+	g.Eventually(func() int { s.send(0, "deadly", "/a/x", "body"); return s.terminatedCount() }, testTimeout).Should(BeNumerically(">=", 3))
 	s.model = ""
-	g.Eventually(func() bool { return s.send(0, "later", "/a/later", "body").whole }, 8*time.Second).Should(BeTrue())
+	g.Eventually(func() bool { return s.send(0, "later", "/a/later", "body").complete }, 8*time.Second).Should(BeTrue())
 }
 
-// A model under whose load each server ends was loaded on one server after another, for as long as requests asked for it:
-// an order that ended its server was given again, to the next one.
-func TestAModelThatCrashesServersIsStopped(t *testing.T) {
-	s := startSeveral(t, 0)
+// Guards against loading a model that terminates each server on one server after another for as long as requests ask for it:
+// an order that terminated its server was reissued to the next one.
+func TestCrashingModelBlocked(t *testing.T) {
+	s := startMultiBox(t, 0)
 	s.deadlyModel = "m2"
 	g := NewWithT(t)
-	s.up(6)
+	s.startServers(6)
 	s.model = "m2"
 	for began := time.Now(); time.Since(began) < 12*time.Second; {
-		g.Expect(s.send(0, "deadly", "/a/x", "body").whole).To(BeFalse())
+		g.Expect(s.send(0, "deadly", "/a/x", "body").complete).To(BeFalse())
 		time.Sleep(100 * time.Millisecond)
 	}
 	s.model = ""
-	t.Logf("%d servers ended", s.endedSoFar())
-	g.Expect(s.endedSoFar()).To(BeNumerically(">=", 2), "else the test proves nothing")
-	g.Expect(s.endedSoFar()).To(BeNumerically("<=", 6), "three that show it, and as many again")
-	g.Eventually(func() bool { return s.send(0, "later", "/a/later", "body").whole }, within).Should(BeTrue())
+	t.Logf("%d servers terminated", s.terminatedCount())
+	g.Expect(s.terminatedCount()).To(BeNumerically(">=", 2), "else the test proves nothing")
+	g.Expect(s.terminatedCount()).To(BeNumerically("<=", 6), "three as evidence, and as many again")
+	g.Eventually(func() bool { return s.send(0, "later", "/a/later", "body").complete }, testTimeout).Should(BeTrue())
 }
--- a/box/crashes.go
+++ b/box/crashes.go
@@ -16,39 +16,42 @@
 )
 
 const (
-	// crashesLength bounds the reports that wait to be told. One is made for each server that ended.
-	crashesLength = 256
-	// crashesGather is how long a report waits for others, since the servers of a rack end together.
-	crashesGather = 5 * time.Millisecond
-	// crashesTimeout bounds one telling, crashesFor all of them: by then most of what was suspected
-	// has come again and been told anew.
-	crashesTimeout = 2 * time.Second
-	crashesFor     = 30 * time.Second
-	// crashesPause is the wait before a report is told again: a leader whose disk is full refuses at once.
-	crashesPause = 200 * time.Millisecond
+	// maxQueuedCrashReports bounds the queue of unsent reports. One report is made for each
+	// server that terminated.
+	maxQueuedCrashReports = 256
+	// crashBatchDelay is how long a report waits for others: the servers of a rack fail together.
+	crashBatchDelay = 5 * time.Millisecond
+	// crashSendTimeout bounds one attempt to send, crashRetryDuration all attempts: by then most
+	// suspected requests have occurred and been reported again.
+	crashSendTimeout   = 2 * time.Second
+	crashRetryDuration = 30 * time.Second
+	// crashRetryPause is the delay between attempts: a leader whose disk is full refuses immediately.
+	crashRetryPause = 200 * time.Millisecond
 )
 
-// crashes tells the leader of requests under which servers ended, until it is agreed: unlike
-// other notices, these do not come again by themselves before another server has ended.
-type crashes struct {
-	process string // of this box, whose clock the reports' times are on
+// crashReporter sends the leader reports of requests during which servers terminated, and retries
+// until they are committed: unlike other notices, these do not recur until another server
+// has terminated.
+type crashReporter struct {
+	process string // process ID of this box, whose clock the reports' times refer to
 	log     *zap.Logger
 	meters  *meter.Meters
 	reports chan crashReport
 }
 
 type crashReport struct {
-	made time.Time
+	createdAt time.Time
 	*wire.CrashReport
 }
 
-func newCrashes(process string, log *zap.Logger, meters *meter.Meters) *crashes {
-	return &crashes{process: process, log: log, meters: meters, reports: make(chan crashReport, crashesLength)}
+func newCrashReporter(process string, log *zap.Logger, meters *meter.Meters) *crashReporter {
+	return &crashReporter{process: process, log: log, meters: meters, reports: make(chan crashReport, maxQueuedCrashReports)}
 }
 
-// add takes a report in. It does not block: one that finds no room is dropped, with a line that says so.
-func (c *crashes) add(r *wire.CrashReport) {
-	c.note(r)
+// add queues a report without blocking. If the queue is full, the report is dropped and the drop is
+// logged.
+func (c *crashReporter) add(r *wire.CrashReport) {
+	c.recordReport(r)
 	select {
 	case c.reports <- crashReport{time.Now(), r}:
 	default:
@@ -56,8 +59,8 @@
 	}
 }
 
-// note counts signs and writes their line.
-func (c *crashes) note(r *wire.CrashReport) {
+// recordReport counts and logs the crash evidence of a report.
+func (c *crashReporter) recordReport(r *wire.CrashReport) {
 	if len(r.Signs) == 0 {
 		return
 	}
@@ -75,46 +78,47 @@
 	event.CrashSeen.Log(c.log, zap.String("server", r.Signs[0].Server), zap.String("version", r.Signs[0].Version), zap.Strings("prints", strong), zap.Strings("weak", weak))
 }
 
-// forward passes a call on to the leader; the reason is nil once it was carried out.
-type forward func(context.Context, *wire.Forward) (*wire.ForwardAnswer, *reason.Reason)
+// forwardFunc passes a call on to the leader; the reason is nil if the call was executed.
+type forwardFunc func(context.Context, *wire.Forward) (*wire.ForwardAnswer, *reason.Reason)
 
-// run tells reports until the context ends.
-func (c *crashes) run(ctx context.Context, f forward) {
+// run sends queued reports in batches until the context ends.
+func (c *crashReporter) run(ctx context.Context, f forwardFunc) {
 	for {
 		select {
 		case r := <-c.reports:
-			wait.For(ctx, crashesGather)
+			wait.For(ctx, crashBatchDelay)
 			list := []crashReport{r}
 			for len(c.reports) > 0 {
 				list = append(list, <-c.reports)
 			}
-			c.tell(ctx, f, list)
+			c.send(ctx, f, list)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *crashes) tell(ctx context.Context, f forward, list []crashReport) {
-	for began := time.Now(); ctx.Err() == nil && time.Since(began) < crashesFor; {
-		once, cancel := context.WithTimeout(ctx, crashesTimeout)
+func (c *crashReporter) send(ctx context.Context, f forwardFunc, list []crashReport) {
+	for began := time.Now(); ctx.Err() == nil && time.Since(began) < crashRetryDuration; {
+		once, cancel := context.WithTimeout(ctx, crashSendTimeout)
 		_, why := f(once, &wire.Forward{
-			Kind: wire.ForwardKind_FORWARD_CRASHES, DeadlineMs: uint32(crashesTimeout.Milliseconds()), Crashes: joined(c.process, list, time.Now()),
+			Kind: wire.ForwardKind_FORWARD_CRASHES, DeadlineMs: uint32(crashSendTimeout.Milliseconds()), Crashes: mergeCrashReports(c.process, list, time.Now()),
 		})
 		cancel()
 		if why == nil {
 			return
 		}
-		wait.For(ctx, crashesPause)
+		wait.For(ctx, crashRetryPause)
 	}
 	event.CrashSeen.Log(c.log, zap.Bool("dropped", true), zap.Int("reports", len(list)))
 }
 
-// joined makes one report of several, with its times as of now. Those on the clock of this box stay.
-func joined(box string, list []crashReport, now time.Time) *wire.CrashReport {
+// mergeCrashReports merges reports into one and adjusts relative times to now. Times on the clock of
+// this box are unchanged.
+func mergeCrashReports(box string, list []crashReport, now time.Time) *wire.CrashReport {
 	all := &wire.CrashReport{Box: box}
 	for _, r := range list {
-		since := uint32(now.Sub(r.made).Milliseconds())
+		since := uint32(now.Sub(r.createdAt).Milliseconds())
 		for _, sign := range r.Signs {
 			s := proto.CloneOf(sign)
 			s.SentAgoMs += since
--- a/box/crashes_test.go
+++ b/box/crashes_test.go
@@ -14,23 +14,23 @@
 	"leverdrum/wire"
 )
 
-// Reports are told until they are agreed, with their times as of the telling, and not without a pause where the leader
-// refuses at once.
-func TestReportsOfCrashesAreToldUntilTheyAreAgreed(t *testing.T) {
+// Reports are retried until they are committed. Their relative times are as of each attempt, and there is a pause between
+// attempts if the leader refuses immediately.
+func TestCrashReportsRetriedUntilCommitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := newCrashes("a/1", zap.NewNop(), meter.New())
+		c := newCrashReporter("a/1", zap.NewNop(), meter.New())
 		began := time.Now()
-		var told []*wire.CrashSign
+		var sent []*wire.CrashSign
 		calls := 0
 		go c.run(ctx, func(_ context.Context, f *wire.Forward) (*wire.ForwardAnswer, *reason.Reason) {
 			calls++
 			if time.Since(began) < 10*time.Second {
 				return nil, reason.DiskFull
 			}
-			told = append(told, f.Crashes.Signs...)
+			sent = append(sent, f.Crashes.Signs...)
 			g.Expect(f.Crashes.Box).To(Equal("a/1"))
 			return &wire.ForwardAnswer{}, nil
 		})
@@ -39,10 +39,10 @@
 		}
 		time.Sleep(12 * time.Second)
 		synctest.Wait()
-		g.Expect(calls).To(BeNumerically("<=", 52), "five a second")
-		g.Expect(told).To(HaveLen(3), "one call for all that ended together")
-		for _, s := range told {
-			g.Expect(s.EndedAgoMs).To(BeNumerically(">=", 10_000), "it ended that long ago by now")
+		g.Expect(calls).To(BeNumerically("<=", 52), "five attempts per second")
+		g.Expect(sent).To(HaveLen(3), "one call for all servers that terminated together")
+		for _, s := range sent {
+			g.Expect(s.EndedAgoMs).To(BeNumerically(">=", 10_000), "the time since the termination includes the retries")
 			g.Expect(s.SentAgoMs - s.EndedAgoMs).To(BeEquivalentTo(60))
 		}
 	})
--- a/box/directory.go
+++ b/box/directory.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// routesShare is how many times as long as it took the box waits before it
-	// makes its routes again: at a hundred boxes the agreed state changes dozens of
-	// times a second, and each change costs as much as hundreds of requests.
-	routesShare = 30
-	// routesMost bounds that wait; routes are so much older at most.
-	routesMost = 60 * time.Millisecond
+	// routeUpdateRatio is the delay between two route updates as a multiple of the
+	// time that the last one took: with a hundred boxes the replicated state changes
+	// dozens of times a second, and each update costs as much as hundreds of requests.
+	routeUpdateRatio = 30
+	// maxRouteUpdateDelay bounds that delay, and so the additional age of routes.
+	maxRouteUpdateDelay = 60 * time.Millisecond
 )
 
-// keepDirectory makes the routes follow the agreed state.
-func (b *Box) keepDirectory(ctx context.Context, p *parts) {
-	var file uint64 // index of the one in force
+// updateDirectory updates the routes whenever the replicated state changes.
+func (b *Box) updateDirectory(ctx context.Context, p *components) {
+	var file uint64 // log index of the fleet file in force
 	for {
 		changed := p.replica.Changed()
 		view := p.replica.View()
@@ -33,44 +33,45 @@
 		p.entry.Changed()
 		p.gateway.Refresh()
 		if p.spread.Current() && p.replica.View() == view {
-			b.warm.Store(true)
+			b.routesInitialized.Store(true)
 		}
 		if index := view.Version.GetIndex(); index > file {
 			file = index
-			b.logFile(view, began)
+			b.logFileInForce(view, began)
 		}
 		b.meters.Gauge(meter.StateIndex).Set(float64(view.Index))
 		b.meters.Gauge(meter.LevelInForce).Set(float64(view.Level))
 		b.meters.Gauge(meter.FleetNumber).Set(float64(view.Version.GetNumber()))
 		b.meters.Gauge(meter.LimitsInForce).Set(float64(len(view.Limits)))
 		b.meters.Gauge(meter.CrashersHeld).Set(float64(view.Crashers.BlockedCount()))
-		wait.For(ctx, min(routesMost, routesShare*time.Since(began)))
+		wait.For(ctx, min(maxRouteUpdateDelay, routeUpdateRatio*time.Since(began)))
 		select {
 		case <-changed:
-		case <-b.untilWarm():
+		case <-b.routeRetryTick():
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// logFile says that the routes follow a view with another fleet file, seen at a time.
-func (b *Box) logFile(view *state.State, seen time.Time) {
+// logFileInForce logs that the routes use the fleet file of a view, which was first seen at the given
+// time.
+func (b *Box) logFileInForce(view *state.State, seen time.Time) {
 	event.FileInForce.Log(b.log, zap.Uint64("number", view.Version.GetNumber()), zap.Uint64("index", view.Version.GetIndex()),
 		zap.Time("agreed", time.UnixMilli(view.Version.GetUnixMs()).UTC()), zap.Duration("held", time.Since(seen)), zap.Int("bytes", len(view.Text)))
 }
 
-// untilWarm ticks soon while the routes may not hold what is in force, and never
-// after that.
-func (b *Box) untilWarm() <-chan time.Time {
-	if b.warm.Load() {
+// routeRetryTick returns a channel that fires after 20 ms until the routes are initialized,
+// and nil after that.
+func (b *Box) routeRetryTick() <-chan time.Time {
+	if b.routesInitialized.Load() {
 		return nil
 	}
 	return time.After(20 * time.Millisecond)
 }
 
-// readPlatform takes over the platform's word on who leaves.
-func (b *Box) readPlatform(ctx context.Context, p *parts) {
+// pollPlatform polls the platform's machine list for draining machines.
+func (b *Box) pollPlatform(ctx context.Context, p *components) {
 	if b.settings.PlatformAddress == "" {
 		return
 	}
@@ -78,7 +79,7 @@
 	ticker := time.NewTicker(b.settings.PlatformEvery)
 	defer ticker.Stop()
 	for {
-		b.readMachines(ctx, p, list)
+		b.pollMachines(ctx, p, list)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -87,20 +88,20 @@
 	}
 }
 
-func (b *Box) readMachines(ctx context.Context, p *parts, list platform.List) {
+func (b *Box) pollMachines(ctx context.Context, p *components, list platform.List) {
 	ctx, cancel := context.WithTimeout(ctx, b.settings.PlatformEvery)
 	defer cancel()
 	machines, err := list.Machines(ctx)
 	if err != nil {
-		return // the last word stands
+		return // keep the last reported state
 	}
-	gone := map[string]bool{}
+	terminated := map[string]bool{}
 	for _, m := range machines {
 		if m.Leaving {
-			gone[m.Name] = true
+			terminated[m.Name] = true
 		}
 	}
-	if p.directory.SetTerminatedServers(gone) {
+	if p.directory.SetTerminatedServers(terminated) {
 		p.directory.Update(p.replica.View())
 	}
 }
--- a/box/draining_test.go
+++ b/box/draining_test.go
@@ -9,78 +9,77 @@
 	"leverdrum/platform/standin"
 )
 
-// drainTime is the time after which a box that passed on an answer of a draining server must send it nothing that its
+// drainGrace is the time after which a box that forwarded a response of a draining server must send it no request that a
 // caller sent since.
-const drainTime = 2 * time.Second
+const drainGrace = 2 * time.Second
 
-// leave has a server say in all its answers that it is about to end.
-func (s *several) leave(server string) {
+// setDraining makes a server announce in all its responses that it is draining.
+func (s *multiBox) setDraining(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves[server] = true
+	s.draining[server] = true
 }
 
-// toldLeaving returns when each box first got an answer which said that the server is about to end.
-func toldLeaving(arrived []standin.Arrival) map[string]time.Time {
-	told := map[string]time.Time{}
+// firstDrainingAnswers returns when each box first got a response that announced the draining.
+func firstDrainingAnswers(arrived []standin.Arrival) map[string]time.Time {
+	seen := map[string]time.Time{}
 	for _, a := range arrived {
-		if _, known := told[a.Via]; a.Left && !known {
-			told[a.Via] = a.At
+		if _, known := seen[a.Via]; a.Left && !known {
+			seen[a.Via] = a.At
 		}
 	}
-	return told
+	return seen
 }
 
-// lateAfter counts the requests that came more than a time after their box was told.
-func lateAfter(arrived []standin.Arrival, told map[string]time.Time, after time.Duration) (late int) {
+// countLate counts the requests that arrived later than the given time after their box first got such a response.
+func countLate(arrived []standin.Arrival, draining map[string]time.Time, after time.Duration) (late int) {
 	for _, a := range arrived {
-		if since, known := told[a.Via]; known && a.At.Sub(since) > after {
+		if since, known := draining[a.Via]; known && a.At.Sub(since) > after {
 			late++
 		}
 	}
 	return late
 }
 
-// checkDrained sends requests for some seconds and wants all of them served, and none at a server that says that it is about to
-// end after the time that it goes on.
-func (s *several) checkDrained(server string) {
+// expectDrained sends requests for some seconds. It expects at least 98 % of them to be served, and none to reach the draining
+// server after drainGrace.
+func (s *multiBox) expectDrained(server string) {
 	g := NewWithT(s.t)
-	stop := s.load(30)
-	time.Sleep(3 * drainTime)
-	arrived := s.limited(server).Arrived()
+	stop := s.startLoad(30)
+	time.Sleep(3 * drainGrace)
+	arrived := s.serverByID(server).Arrived()
 	answers := stop()
 	served := 0
 	for _, a := range answers {
-		if a.whole {
+		if a.complete {
 			served++
 		}
 	}
-	late := lateAfter(arrived, toldLeaving(arrived), drainTime)
-	s.t.Logf("%d requests came too late; %d of %d served", late, served, len(answers))
+	late := countLate(arrived, firstDrainingAnswers(arrived), drainGrace)
+	s.t.Logf("%d requests arrived too late; %d of %d served", late, served, len(answers))
 	g.Expect(late).To(BeZero())
 	g.Expect(served).To(BeNumerically(">=", len(answers)*98/100))
 }
 
-// A server says in its answers that it is about to end, and nowhere else. The boxes that passed such an answer on must
-// send it nothing more after the time that it goes on serving, and what one box was told must reach the others, so
-// that the model is loaded elsewhere.
-func TestAServerThatSaysInItsAnswersThatItDrainsGetsNoMore(t *testing.T) {
-	s := startSeveral(t, 4)
+// A server announces only in its responses that it is draining. The boxes that forwarded such a response must send it
+// nothing after drainGrace, and what one box learned must reach the others, so that the model is loaded elsewhere.
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	s := startMultiBox(t, 4)
 	g := NewWithT(t)
-	s.up(1)
-	s.server("", "") // holds nothing
-	s.leave("i-1")
-	s.checkDrained("i-1")
-	g.Expect(s.limited("i-2").Holds("m1")).To(BeTrue(), "the last copy gets a place elsewhere")
+	s.startServers(1)
+	s.server("", "") // no resident model
+	s.setDraining("i-1")
+	s.expectDrained("i-1")
+	g.Expect(s.serverByID("i-2").Holds("m1")).To(BeTrue(), "the last copy is loaded elsewhere")
 }
 
-// The same where no leader is left that could spread it, while all that is agreed says that the server stays: each box keeps to
-// what it was told by itself.
-func TestABoxKeepsToADrainingServersWordWithoutALeader(t *testing.T) {
-	s := startSeveral(t, 3)
-	s.up(2)
-	s.box.Kill() // the only one that can lead
+// The same without a leader that could distribute it, while the committed state has the server as not draining: each box honors
+// what it was told itself.
+func TestDrainingHonoredWithoutLeader(t *testing.T) {
+	s := startMultiBox(t, 3)
+	s.startServers(2)
+	s.box.Kill() // the only box that can lead
 	s.entries = s.entries[1:]
-	s.leave("i-1")
-	s.checkDrained("i-1")
+	s.setDraining("i-1")
+	s.expectDrained("i-1")
 }
--- a/box/drains.go
+++ b/box/drains.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// drainsLength bounds the servers that wait to be told of.
-	drainsLength = 256
-	// drainsTimeout bounds one telling, drainsPause is the time to the next. drainsFor bounds all of them: by then the
-	// server has ended.
-	drainsTimeout = 500 * time.Millisecond
-	drainsPause   = 250 * time.Millisecond
-	drainsFor     = 30 * time.Second
+	// maxQueuedDrains bounds the queue of draining servers not yet reported.
+	maxQueuedDrains = 256
+	// drainSendTimeout bounds one report, drainRetryPause is the delay before the next. drainRetryDuration bounds all
+	// attempts: by then the server has terminated.
+	drainSendTimeout   = 500 * time.Millisecond
+	drainRetryPause    = 250 * time.Millisecond
+	drainRetryDuration = 30 * time.Second
 )
 
-// drains has all boxes know of servers that said in an answer to this box that they drain: no further request would bring
-// the news again, so the leader is told until it is agreed.
-type drains struct {
-	parts   *parts
-	log     *zap.Logger
-	servers chan string
+// drainReporter reports to the leader the servers that announced in a response to this box that they are draining. No
+// further request would repeat that announcement, so the report is retried until it is committed and reaches all boxes.
+type drainReporter struct {
+	components *components
+	log        *zap.Logger
+	servers    chan string
 }
 
-func newDrains(p *parts, log *zap.Logger) *drains {
-	return &drains{parts: p, log: log, servers: make(chan string, drainsLength)}
+func newDrainReporter(p *components, log *zap.Logger) *drainReporter {
+	return &drainReporter{components: p, log: log, servers: make(chan string, maxQueuedDrains)}
 }
 
-// add has this box keep to what a server said at once, whatever is agreed. It does not block.
-func (d *drains) add(server string) {
-	d.parts.gateway.RecordDraining(server)
+// add makes this box treat a server as draining immediately, whatever the committed state says, and queues the report. It
+// does not block.
+func (d *drainReporter) add(server string) {
+	d.components.gateway.RecordDraining(server)
 	select {
 	case d.servers <- server:
 	default:
@@ -42,42 +43,42 @@
 	}
 }
 
-// run tells the leader until the context ends.
-func (d *drains) run(ctx context.Context, f forward) {
-	open := map[string]time.Time{} // since when it is to be told
+// run reports draining servers to the leader until the context ends.
+func (d *drainReporter) run(ctx context.Context, f forwardFunc) {
+	pending := map[string]time.Time{} // when the server was queued
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case server := <-d.servers:
-			open[server] = time.Now()
-		case <-waitIf(len(open) > 0, drainsPause):
+			pending[server] = time.Now()
+		case <-afterIf(len(pending) > 0, drainRetryPause):
 		}
-		for server, since := range open {
-			if d.known(server) || time.Since(since) > drainsFor {
-				delete(open, server)
+		for server, since := range pending {
+			if d.committed(server) || time.Since(since) > drainRetryDuration {
+				delete(pending, server)
 				continue
 			}
-			d.tell(ctx, f, server)
+			d.send(ctx, f, server)
 		}
 	}
 }
 
-// known reports whether it is agreed that a server drains, or has gone.
-func (d *drains) known(server string) bool {
-	a := d.parts.replica.View().Announcements.Get(server)
+// committed reports whether the committed state has a server as draining or removed.
+func (d *drainReporter) committed(server string) bool {
+	a := d.components.replica.View().Announcements.Get(server)
 	return a == nil || a.Leaving
 }
 
-func (d *drains) tell(ctx context.Context, f forward, server string) {
-	ctx, cancel := context.WithTimeout(ctx, drainsTimeout)
+func (d *drainReporter) send(ctx context.Context, f forwardFunc, server string) {
+	ctx, cancel := context.WithTimeout(ctx, drainSendTimeout)
 	defer cancel()
-	call := &wire.Forward{Kind: wire.ForwardKind_FORWARD_WITHDRAW, Withdraw: &wire.Withdraw{Id: server}, DeadlineMs: uint32(drainsTimeout.Milliseconds())}
-	_, _ = f(ctx, call) // told again until it is agreed
+	call := &wire.Forward{Kind: wire.ForwardKind_FORWARD_WITHDRAW, Withdraw: &wire.Withdraw{Id: server}, DeadlineMs: uint32(drainSendTimeout.Milliseconds())}
+	_, _ = f(ctx, call) // retried until committed
 }
 
-// waitIf returns a channel on which a time comes after a pause, or never.
-func waitIf(wanted bool, pause time.Duration) <-chan time.Time {
+// afterIf returns a channel that fires after a pause, or nil if it is not wanted.
+func afterIf(wanted bool, pause time.Duration) <-chan time.Time {
 	if !wanted {
 		return nil
 	}
--- a/box/form.go
+++ b/box/form.go
@@ -13,23 +13,23 @@
 	"leverdrum/wire"
 )
 
-// formPause is the time between two attempts to find or form the cluster. A box without a
+// formRetryPause is the delay between two attempts to find or form the cluster. A box without a
 // disk does this at each start, and callers wait for it.
-const formPause = 50 * time.Millisecond
+const formRetryPause = 50 * time.Millisecond
 
-// awaitCluster returns once this box belongs to a cluster. A new box takes over
-// the id of any formed box that it meets. The first members form the cluster
-// when all of them are new: the first of them by name writes the first
-// configuration to its disk and then tells the others. A box whose disk was
-// lost meets formed boxes and joins them; it can never form a second cluster,
-// because the others are not new.
+// awaitCluster returns once this box belongs to a cluster. A new box adopts
+// the cluster ID of any box it contacts that has one. The first members form the
+// cluster if all of them are new: the first of them by name writes the initial
+// configuration to its disk and then notifies the others. A box that lost its disk
+// contacts members of the cluster and joins them; it can never form a second
+// cluster, because the others are not new.
 func (b *Box) awaitCluster(ctx context.Context) error {
 	for {
-		met := b.meetAll(ctx)
+		peers := b.contactAll(ctx)
 		if _, id := b.id.Cluster(); id != "" {
 			return nil
 		}
-		if err := b.tryForm(met); err != nil {
+		if err := b.tryForm(peers); err != nil {
 			return err
 		}
 		select {
@@ -37,19 +37,19 @@
 			return nil
 		case <-ctx.Done():
 			return Error.Wrap(ctx.Err())
-		case <-time.After(formPause):
+		case <-time.After(formRetryPause):
 		}
 	}
 }
 
-// meetAll meets all boxes of the settings at once; meeting a formed one makes
-// this box take over its cluster, and then the others are not waited for.
-func (b *Box) meetAll(ctx context.Context) map[string]*wire.Member {
+// contactAll contacts all boxes of the settings concurrently. If one belongs to a
+// cluster, this box adopts that cluster and does not wait for the others.
+func (b *Box) contactAll(ctx context.Context) map[string]*wire.Member {
 	type answer struct {
 		box    string
 		member *wire.Member
 	}
-	boxes := b.known()
+	boxes := b.knownAddresses()
 	answers := make(chan answer, len(boxes))
 	for name := range boxes {
 		go func() {
@@ -64,29 +64,29 @@
 			answers <- answer{name, m}
 		}()
 	}
-	met := map[string]*wire.Member{}
+	peers := map[string]*wire.Member{}
 	for range boxes {
 		select {
 		case a := <-answers:
 			if a.member != nil {
-				met[a.box] = a.member
+				peers[a.box] = a.member
 			}
 		case <-b.id.adopted:
-			return met
+			return peers
 		}
 	}
-	return met
+	return peers
 }
 
-// tryForm forms the cluster when this box is the one to do so and all first
-// members were met, all of them new.
-func (b *Box) tryForm(met map[string]*wire.Member) error {
+// tryForm forms the cluster if this box is the one responsible for it and all first
+// members responded and are new.
+func (b *Box) tryForm(peers map[string]*wire.Member) error {
 	if b.store == nil || len(b.settings.FirstMembers) == 0 || b.settings.Box != slices.Min(b.settings.FirstMembers) {
 		return nil
 	}
 	var voters []string
 	for _, name := range b.settings.FirstMembers {
-		m := met[name]
+		m := peers[name]
 		if m == nil {
 			return nil
 		}
@@ -104,16 +104,16 @@
 	return b.id.Adopt(rand.Text())
 }
 
-// tellFormed pushes the cluster's id to first members that were new when they
-// were met.
-func (b *Box) tellFormed(ctx context.Context) {
+// announceCluster sends the cluster ID to the other first members, which were new when
+// they were contacted.
+func (b *Box) announceCluster(ctx context.Context) {
 	_, id := b.id.Cluster()
 	for _, name := range b.settings.FirstMembers {
 		if name == b.settings.Box {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
-		// A box that misses this learns the id from the next Hello.
+		// A box that misses this call learns the ID from the next Hello.
 		_, _ = b.pool.Call(ctx, name, &wire.Request{Kind: &wire.Request_Form{Form: &wire.Form{ClusterId: id}}})
 		cancel()
 	}
--- a/box/identity.go
+++ b/box/identity.go
@@ -18,13 +18,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("box")
 
-// incarnationLength is the length of an incarnation in characters; drawn from
-// 32 letters and digits, it is unlike all others.
+// incarnationLength is the length of an incarnation in characters. They are random,
+// from an alphabet of 32 letters and digits, so an incarnation is practically unique.
 const incarnationLength = 12
 
 func newIncarnation() string { return strings.ToLower(rand.Text()[:incarnationLength]) }
 
-// identity is who this box is to others. It implements peer.Identity.
+// identity is how this box identifies itself to others. It implements peer.Identity.
 type identity struct {
 	mu        sync.Mutex
 	self      *wire.Member
@@ -32,7 +32,7 @@
 	clusterID string
 	store     *wal.Store // nil without a disk
 	adopted   chan struct{}
-	level     func() level.Level // in force, as far as known; nil before the cluster is found
+	level     func() level.Level // level in force, as far as known; nil before the cluster is found
 }
 
 func newIdentity(s *settings.Settings, store *wal.Store) *identity {
@@ -51,27 +51,27 @@
 	return id
 }
 
-// Self returns the member.
+// Self returns a copy of this box's member record.
 func (i *identity) Self() *wire.Member {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return proto.CloneOf(i.self)
 }
 
-func (i *identity) setLeaving() {
+func (i *identity) setDraining() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.self.Leaving = true
 }
 
-// Cluster returns the cluster's name and id.
+// Cluster returns the cluster's name and ID; the ID is "" before the box joins a cluster.
 func (i *identity) Cluster() (name, id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.cluster, i.clusterID
 }
 
-// Adopt makes the cluster's id this box's own, durably where it has a disk.
+// Adopt records the cluster's ID unless one is set already, durably if the box has a disk.
 func (i *identity) Adopt(id string) error {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// follow has the level in force told from now on.
-func (i *identity) follow(inForce func() level.Level) {
+// setLevelSource sets the function that returns the level in force.
+func (i *identity) setLevelSource(inForce func() level.Level) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.level = inForce
--- a/box/lead.go
+++ b/box/lead.go
@@ -11,10 +11,10 @@
 	"leverdrum/wire"
 )
 
-// lead carries out a call if this box leads; the only error is ErrNotLeader,
-// all others stand in the answer.
-func lead(ctx context.Context, p *parts, f *wire.Forward) (*wire.ForwardAnswer, error) {
-	a, err := carryOut(ctx, p, f)
+// executeAsLeader executes a call if this box leads. The only error returned is
+// ErrNotLeader; all others are in the answer.
+func executeAsLeader(ctx context.Context, p *components, f *wire.Forward) (*wire.ForwardAnswer, error) {
+	a, err := execute(ctx, p, f)
 	switch {
 	case errors.Is(err, replica.ErrNotLeader):
 		return nil, err
@@ -39,10 +39,10 @@
 	return reason.ApplyUnknown
 }
 
-func carryOut(ctx context.Context, p *parts, f *wire.Forward) (*wire.ForwardAnswer, error) {
+func execute(ctx context.Context, p *components, f *wire.Forward) (*wire.ForwardAnswer, error) {
 	switch f.Kind {
 	case wire.ForwardKind_FORWARD_APPLY:
-		return leadApply(ctx, p, f.Apply)
+		return applyFile(ctx, p, f.Apply)
 	case wire.ForwardKind_FORWARD_ANNOUNCE:
 		return &wire.ForwardAnswer{}, p.control.Announce(ctx, f.Announcement)
 	case wire.ForwardKind_FORWARD_WITHDRAW:
@@ -52,9 +52,9 @@
 	case wire.ForwardKind_FORWARD_CRASHES:
 		return &wire.ForwardAnswer{}, p.control.RecordCrashes(ctx, f.Crashes)
 	case wire.ForwardKind_FORWARD_EVACUATE:
-		return leadEvacuate(ctx, p, f.Evacuate)
+		return evacuateHall(ctx, p, f.Evacuate)
 	case wire.ForwardKind_FORWARD_READ:
-		return leadRead(ctx, p, f.FileOnly)
+		return readState(ctx, p, f.FileOnly)
 	case wire.ForwardKind_FORWARD_JOIN:
 		if !mayJoin(p, f.Member) {
 			return nil, replica.ErrBusy
@@ -66,21 +66,21 @@
 		_, err := p.replica.Propose(ctx, &wire.Command{Kind: &wire.Command_Leave{Leave: l}})
 		return &wire.ForwardAnswer{}, err
 	}
-	return nil, Error.New("unknown call")
+	return nil, Error.New("unknown forward kind")
 }
 
-// mayJoin keeps a leader that is cut off from most boxes from making the list
-// longer until those it hears are the majority of it: the others may go on as
-// the majority of the list that they know.
-func mayJoin(p *parts, m *wire.Member) bool {
+// mayJoin reports whether a box may join. A leader that is cut off from most boxes
+// must not extend the member list until the boxes it hears from are a majority of
+// it: the others may continue as the majority of the list that they know.
+func mayJoin(p *components, m *wire.Member) bool {
 	members := p.replica.View().Members
 	return len(members) == 0 || members[m.GetBox()] != nil || p.spread.SeesMajority()
 }
 
-// leadApply has the file agreed, and then waits until it, or the newer one that is in force
-// in its place, has reached the boxes: who is told that a file is taken goes by it, also where
-// another has overtaken it.
-func leadApply(ctx context.Context, p *parts, a *wire.ApplyFleet) (*wire.ForwardAnswer, error) {
+// applyFile commits a file and then waits until it, or the newer one in force in its place,
+// has reached the boxes: a client that is told that a file was accepted relies on it, even if
+// a newer file has superseded it.
+func applyFile(ctx context.Context, p *components, a *wire.ApplyFleet) (*wire.ForwardAnswer, error) {
 	a, err := state.UnpackFile(a)
 	if err != nil {
 		return nil, err
@@ -92,17 +92,17 @@
 	}
 	answer := &wire.ApplyResult{Outcome: string(result.Apply), Winner: result.Winner, Index: result.Winner.GetIndex()}
 	if result.Apply != state.Invalid {
-		have, boxes := p.spread.AwaitApplied(ctx, answer.Index, p.accept)
+		have, boxes := p.spread.AwaitApplied(ctx, answer.Index, p.ackTimeouts)
 		answer.InForce, answer.Boxes = uint32(have), uint32(boxes)
 	}
 	return &wire.ForwardAnswer{Apply: answer}, nil
 }
 
-// errUnknownHall: nothing that the box knows of stands in the data hall.
-var errUnknownHall = errors.New("the data hall is not known")
+// errUnknownHall means that the box knows of nothing located in the data hall.
+var errUnknownHall = errors.New("unknown data hall")
 
-// leadEvacuate has an evacuation agreed, or taken back.
-func leadEvacuate(ctx context.Context, p *parts, e *wire.EvacuateHall) (*wire.ForwardAnswer, error) {
+// evacuateHall commits the evacuation of a data hall, or its cancellation.
+func evacuateHall(ctx context.Context, p *components, e *wire.EvacuateHall) (*wire.ForwardAnswer, error) {
 	hall := e.GetHall()
 	if view := p.replica.View(); !view.KnowsHall(hall) && !view.Evacuated(hall) && p.regions[hall] == "" {
 		return nil, errUnknownHall
@@ -110,9 +110,9 @@
 	return &wire.ForwardAnswer{}, p.control.Evacuate(ctx, e)
 }
 
-// leadRead reads what is agreed, or the fleet file alone: the rest of the state is several times
-// as large as the packed file, and goes over the slow link of the box that asks.
-func leadRead(ctx context.Context, p *parts, fileOnly bool) (*wire.ForwardAnswer, error) {
+// readState reads the committed state, or only its fleet file: the rest of the state is several times
+// as large as the packed file, and is sent over the requesting box's slow link.
+func readState(ctx context.Context, p *components, fileOnly bool) (*wire.ForwardAnswer, error) {
 	if err := p.replica.Barrier(ctx); err != nil {
 		return nil, err
 	}
--- a/box/apply_test.go
+++ b/box/lead_test.go
@@ -20,15 +20,16 @@
 	"leverdrum/wire"
 )
 
-// onlyVoter is the storage of a leader without peers.
+// onlyVoter is the storage of the only voter of a cluster.
 type onlyVoter struct{ replica.MemoryStorage }
 
 func (onlyVoter) Loaded() wal.Loaded {
 	return wal.Loaded{Hard: &wire.HardState{Term: 1}, Snapshot: &wire.Snapshot{Index: 1, Term: 1, Config: &wire.Config{Voters: []string{"a/1"}}}}
 }
 
-// loneLeader leads a cluster whose list names two more boxes, which never ask for news.
-func loneLeader(t *testing.T, accept spread.AckTimeouts) *parts {
+// startSingleLeader starts the leader of a cluster whose member list has two more boxes, which never
+// request updates.
+func startSingleLeader(t *testing.T, accept spread.AckTimeouts) *components {
 	r, err := replica.New(replica.Options{
 		Core:    consensus.Options{ID: "a/1", ElectionMin: 200 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Lease: 160 * time.Millisecond, Seed: 1},
 		Storage: onlyVoter{}, Send: func(*wire.Message) {}, CompactAfter: 1000, Fatal: func(err error) { t.Error(err) }, Log: zap.NewNop(),
@@ -46,7 +47,7 @@
 		}
 	}
 	s := spread.New(spread.Options{Replica: r, Self: &wire.Member{Box: "a", Incarnation: "1"}, Log: zap.NewNop()})
-	return &parts{replica: r, spread: s, accept: accept, control: control.New(control.Options{Replica: r, Log: zap.NewNop()})}
+	return &components{replica: r, spread: s, ackTimeouts: accept, control: control.New(control.Options{Replica: r, Log: zap.NewNop()})}
 }
 
 func numberedFile(number uint64, mark string) *wire.ApplyFleet {
@@ -54,13 +55,13 @@
 	return &wire.ApplyFleet{Number: number, Digest: fleet.Digest([]byte(text)), Text: text}
 }
 
-// A file that had been overtaken was acknowledged at once, though the newer one was in force
-// on no other box yet: requests went by what was older than either.
-func TestAnOvertakenFileIsAcknowledgedWithTheOneInForce(t *testing.T) {
+// Guards against acknowledging a superseded file immediately although the newer one is not in
+// force on any other box: requests were then handled by a file older than both.
+func TestSupersededFileWaitsForNewerFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		wait := spread.AckTimeouts{AllBoxes: 600 * time.Millisecond, Majority: 2 * time.Second}
-		p := loneLeader(t, wait)
+		p := startSingleLeader(t, wait)
 		defer p.replica.Close()
 		for i, row := range []struct {
 			file    *wire.ApplyFleet
@@ -76,7 +77,7 @@
 		} {
 			p.spread = spread.New(spread.Options{Replica: p.replica, Self: &wire.Member{Box: "a", Incarnation: "1"}, Log: zap.NewNop()})
 			began := time.Now()
-			answer, err := leadApply(context.Background(), p, row.file)
+			answer, err := applyFile(context.Background(), p, row.file)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(answer.Apply.Outcome).To(BeEquivalentTo(row.outcome), "row %d", i)
 			g.Expect(time.Since(began) >= wait.Majority).To(Equal(row.waits), "row %d", i)
@@ -84,17 +85,17 @@
 	})
 }
 
-// A configuration was read back with the whole state around it.
-func TestAFileIsReadWithoutTheRestOfTheState(t *testing.T) {
+// Guards against sending the whole state when only the configuration is read.
+func TestReadFileOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := loneLeader(t, spread.AckTimeouts{})
+		p := startSingleLeader(t, spread.AckTimeouts{})
 		defer p.replica.Close()
 		file := numberedFile(3, "first")
-		_, err := leadApply(context.Background(), p, file)
+		_, err := applyFile(context.Background(), p, file)
 		g.Expect(err).NotTo(HaveOccurred())
 		for _, fileOnly := range []bool{true, false} {
-			answer, err := leadRead(context.Background(), p, fileOnly)
+			answer, err := readState(context.Background(), p, fileOnly)
 			g.Expect(err).NotTo(HaveOccurred())
 			text, err := state.FileText(answer.Read.State)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// limitWindow is the span over which a server's limit is judged, limitOver the share of it that may arrive there, and
-	// limitSlack the requests besides: what the users' rule allows.
+	// limitWindow is the time over which a server's rate is compared with its limit. Up to limitRatio times the limit plus
+	// limitSlack requests may arrive in it: this is the users' requirement.
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitRatio  = 1.5
 	limitSlack  = 5
-	// contact is the time in which all boxes must hold to a limit that one was told.
-	contact = 3 * time.Second
+	// limitPropagation is the time within which all boxes must honor a limit that one of them received.
+	limitPropagation = 3 * time.Second
 )
 
-// name has a server name a limit in its answers, "" for none.
-func (s *several) name(server, limit string) {
+// setLimit makes a server announce a limit in its responses, "" for none.
+func (s *multiBox) setLimit(server, limit string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits[server] = limit
 }
 
-// limited returns the server with an id.
-func (s *several) limited(id string) *standin.Server {
+// serverByID returns the server with an ID.
+func (s *multiBox) serverByID(id string) *standin.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.servers {
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// load sends requests to all boxes in turn, so many a second, until the function that it returns is called; that returns
-// the answers.
-func (s *several) load(perSecond int) (stop func() []answer) {
+// startLoad sends requests to all boxes in turn at the given rate until the returned function is called, which returns the
+// responses.
+func (s *multiBox) startLoad(perSecond int) (stop func() []answer) {
 	ended := make(chan struct{})
 	var mu sync.Mutex
 	var answers []answer
@@ -73,8 +73,8 @@
 	}
 }
 
-// mostIn is the most requests that arrived within a window, of those since a time.
-func mostIn(arrived []standin.Arrival, since time.Time) (most int) {
+// maxInWindow returns the maximum number of requests that arrived within one limitWindow, of those since a time.
+func maxInWindow(arrived []standin.Arrival, since time.Time) (maximum int) {
 	for i, first := range arrived {
 		if first.At.Before(since) {
 			continue
@@ -85,92 +85,92 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return most
+	return maximum
 }
 
-func allowed(perSecond float64) float64 {
-	return limitOver*limitWindow.Seconds()*perSecond + limitSlack
+// maxAllowed returns the maximum number of requests allowed within one limitWindow.
+func maxAllowed(perSecond float64) float64 {
+	return limitRatio*limitWindow.Seconds()*perSecond + limitSlack
 }
 
-// A server that named a limit of 1 request a second, for all boxes together, got 13 in 4 s, another one 12. No box read the
-// header that names it: what the two servers got was the same before and after, 2.0 and 2.5 requests a second, then
-// 2.8 and 2.0, and followed the demand for their models alone. Lines of the boxes that tell when each was told a
-// limit, and arrivals as the stand-in counts them by box here, proved it: all boxes had been told, and
-// each went on as before.
+// Guards against ignoring the header in which servers announce a limit: two servers with a limit of 1 request/s for all
+// boxes together got 13 and 12 requests in 4 s. Their rates, 2.0 and 2.5 requests/s before and 2.8 and 2.0 after,
+// depended only on the demand for their models. All boxes had received the limit, and none changed its rate.
 //
-// Over all boxes, the server must get no more than the rule allows, and not lie idle either; its work goes to the other.
-func TestAServerGetsNoMoreThanItsLimit(t *testing.T) {
-	s := startSeveral(t, 4)
+// Over all boxes, the server must get no more than the requirement allows, but must not stay idle either; the remaining
+// requests go to the other server.
+func TestServerLimitHonored(t *testing.T) {
+	s := startMultiBox(t, 4)
 	g := NewWithT(t)
-	s.up(2)
-	tries := 0
+	s.startServers(2)
+	arrivedTotal := 0
 	for _, limit := range []string{"1", "0.4", "2.5"} {
-		s.name("i-1", limit)
+		s.setLimit("i-1", limit)
 		named := time.Now()
-		stop := s.load(16)
+		stop := s.startLoad(16)
 		rate, err := strconv.ParseFloat(limit, 64)
 		g.Expect(err).NotTo(HaveOccurred())
-		if limit == "1" { // the first that it names; of a change boxes learn as they send it something
-			g.Eventually(func() []admin.LimitRow { return s.status().Limits }, contact).Should(ConsistOf(And(HaveField("Server", "i-1"), HaveField("PerSecond", rate))), "agreed by all, and shown; level %d is in force", s.status().Level)
+		if limit == "1" { // the first limit; boxes learn of a change when they send a request
+			g.Eventually(func() []admin.LimitRow { return s.status().Limits }, limitPropagation).Should(ConsistOf(And(HaveField("Server", "i-1"), HaveField("PerSecond", rate))), "limit is committed and in the status; level %d is in force", s.status().Level)
 		}
-		time.Sleep(contact + 2*limitWindow)
-		arrived := s.limited("i-1").Arrived()
+		time.Sleep(limitPropagation + 2*limitWindow)
+		arrived := s.serverByID("i-1").Arrived()
 		served := 0
 		answers := stop()
 		for _, a := range answers {
-			if a.whole {
+			if a.complete {
 				served++
 			}
 		}
-		got := mostIn(arrived, named.Add(contact))
-		t.Logf("limit %s: at most %d in %v, allowed %.1f; %d of %d served", limit, got, limitWindow, allowed(rate), served, len(answers))
-		g.Expect(float64(got)).To(BeNumerically("<=", allowed(rate)), limit)
-		tries += got
-		g.Expect(served).To(BeNumerically(">=", len(answers)*98/100), "the other server has room")
+		got := maxInWindow(arrived, named.Add(limitPropagation))
+		t.Logf("limit %s: at most %d in %v, allowed %.1f; %d of %d served", limit, got, limitWindow, maxAllowed(rate), served, len(answers))
+		g.Expect(float64(got)).To(BeNumerically("<=", maxAllowed(rate)), limit)
+		arrivedTotal += got
+		g.Expect(served).To(BeNumerically(">=", len(answers)*98/100), "the other server has capacity")
 	}
-	g.Expect(tries).To(BeNumerically(">=", 1), "who sends nothing more never learns that the limit has ended")
-	s.name("i-1", "")
-	stop := s.load(16)
+	g.Expect(arrivedTotal).To(BeNumerically(">=", 1), "boxes that send nothing never learn that the limit was lifted")
+	s.setLimit("i-1", "")
+	stop := s.startLoad(16)
 	began := time.Now()
 	time.Sleep(4 * limitWindow)
-	arrived := s.limited("i-1").Arrived()
+	arrived := s.serverByID("i-1").Arrived()
 	stop()
-	g.Expect(mostIn(arrived, began.Add(2*limitWindow))).To(BeNumerically(">", 20), "half of 64 are its own once the limit has ended")
+	g.Expect(maxInWindow(arrived, began.Add(2*limitWindow))).To(BeNumerically(">", 20), "without a limit it gets half of the 64 requests")
 }
 
-// Where only a limited server holds the model, what it can't take is refused at once with a time to come back, and
-// what it can is served.
-func TestWhatNoServerCanTakeIsRefusedAtOnce(t *testing.T) {
-	s := startSeveral(t, 2)
+// If only a limited server has the model, requests beyond its limit are refused immediately with a Retry-After, and the
+// others are served.
+func TestExcessRequestsRefusedImmediately(t *testing.T) {
+	s := startMultiBox(t, 2)
 	g := NewWithT(t)
-	s.up(1)
-	s.name("i-1", "2")
+	s.startServers(1)
+	s.setLimit("i-1", "2")
 	named := time.Now()
-	stop := s.load(16)
-	time.Sleep(contact + 2*limitWindow)
-	arrived := s.limited("i-1").Arrived()
+	stop := s.startLoad(16)
+	time.Sleep(limitPropagation + 2*limitWindow)
+	arrived := s.serverByID("i-1").Arrived()
 	answers := stop()
 	served, refused := 0, 0
 	for _, a := range answers {
 		switch {
-		case a.whole:
+		case a.complete:
 			served++
 		case a.status == http.StatusServiceUnavailable:
 			refused++
-			g.Expect(a.took).To(BeNumerically("<", 500*time.Millisecond), "refused at once")
+			g.Expect(a.took).To(BeNumerically("<", 500*time.Millisecond), "refused immediately")
 			after, err := strconv.ParseFloat(a.after, 64)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(after).To(BeNumerically(">", 0.05))
-			g.Expect(after).To(BeNumerically("<", 5), "the server takes two a second")
+			g.Expect(after).To(BeNumerically("<", 5), "the server's limit is 2 requests/s")
 			g.Expect(a.reason).To(Equal("servers-limited"))
 		default:
-			t.Errorf("answered %+v", a)
+			t.Errorf("unexpected response %+v", a)
 		}
 	}
-	got := mostIn(arrived, named.Add(contact))
-	t.Logf("at most %d in %v, allowed %.1f; %d served, %d refused", got, limitWindow, allowed(2), served, refused)
-	g.Expect(float64(got)).To(BeNumerically("<=", allowed(2)))
-	g.Expect(float64(got)).To(BeNumerically(">=", 0.7*2*limitWindow.Seconds()), "what it takes is used")
+	got := maxInWindow(arrived, named.Add(limitPropagation))
+	t.Logf("at most %d in %v, allowed %.1f; %d served, %d refused", got, limitWindow, maxAllowed(2), served, refused)
+	g.Expect(float64(got)).To(BeNumerically("<=", maxAllowed(2)))
+	g.Expect(float64(got)).To(BeNumerically(">=", 0.7*2*limitWindow.Seconds()), "the limit is used")
 }
--- a/box/membership.go
+++ b/box/membership.go
@@ -12,18 +12,19 @@
 	"leverdrum/wire"
 )
 
-// joinEvery is the time between two looks at the own row in the list.
-const joinEvery = 500 * time.Millisecond
+// membershipInterval is the time between two checks of this box's entry in the member list.
+const membershipInterval = 500 * time.Millisecond
 
-// keepMembership sees to it that the agreed list shows this box as it is.
-func (b *Box) keepMembership(ctx context.Context, p *parts) {
+// maintainMembership updates this box's entry in the replicated member list when it differs from the
+// box's own record.
+func (b *Box) maintainMembership(ctx context.Context, p *components) {
 	f := &forwarder{b, p}
 	for ctx.Err() == nil {
 		self := b.id.Self()
 		if !proto.Equal(p.replica.View().Members[self.Box], self) {
 			b.join(ctx, f, self)
 		}
-		wait.For(ctx, joinEvery)
+		wait.For(ctx, membershipInterval)
 	}
 }
 
--- a/box/pace.go
+++ b/box/pace.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// lineEvery is the least time between two log lines of one kind that others than this box cause.
-const lineEvery = time.Minute
+// logInterval is the minimum time between two log lines of one kind that remote clients cause.
+const logInterval = time.Minute
 
-// pace keeps lines of each kind to one in lineEvery. Kinds are few: they come from tables.
-type pace struct {
+// logLimiter limits log lines of each kind to one per logInterval. The set of kinds is small and
+// fixed, so the map stays small.
+type logLimiter struct {
 	mu   sync.Mutex
-	last map[string]time.Time
+	last map[string]time.Time // kind -> time of its last line
 }
 
-// due reports whether a line of a kind may be written now.
-func (p *pace) due(kind string, now time.Time) bool {
+// allow reports whether a line of a kind may be logged now.
+func (p *logLimiter) allow(kind string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at, ok := p.last[kind]; ok && now.Sub(at) < lineEvery {
+	if at, ok := p.last[kind]; ok && now.Sub(at) < logInterval {
 		return false
 	}
 	if p.last == nil {
--- a/box/platform.go
+++ b/box/platform.go
@@ -25,39 +25,39 @@
 )
 
 const (
-	// noticesLength bounds the notices that wait to be told to the leader.
-	noticesLength = 256
-	// bodiesShare is the part of the process's memory that bodies of requests may take.
-	bodiesShare = 8
-	// noticeTimeout bounds the telling of some.
+	// maxQueuedNotices bounds the queue of notices to the leader.
+	maxQueuedNotices = 256
+	// bodyMemoryDivisor limits request bodies to 1/8 of the process's memory.
+	bodyMemoryDivisor = 8
+	// noticeTimeout bounds sending one batch of notices.
 	noticeTimeout = 400 * time.Millisecond
-	// knownTimeout bounds the passing on of an announcement that says nothing new.
-	knownTimeout = 300 * time.Millisecond
+	// redundantAnnounceTimeout bounds forwarding an announcement without new information.
+	redundantAnnounceTimeout = 300 * time.Millisecond
 )
 
-func (b *Box) newGateway(p *parts) *gateway.Gateway {
+func (b *Box) newGateway(p *components) *gateway.Gateway {
 	s := b.settings
 	own := dialect.Own
 	if s.Dialect == settings.DialectPlatform {
 		own = platform.Dialect
 	}
 	return gateway.New(gateway.Options{
-		Dialect: own, View: p.replica.View, Current: func() bool { return b.warm.Load() && p.spread.Current() },
+		Dialect: own, View: p.replica.View, Current: func() bool { return b.routesInitialized.Load() && p.spread.Current() },
 		Notify: func(n gateway.Notice) {
 			select {
 			case p.notices <- n:
-			default: // the leader hears of it with the next request
+			default: // the next request makes a notice again
 			}
 		},
 		ReportCrash: p.crashes.add, Quotas: p.quotas.limiter, Pushback: p.pushback,
-		Hall: s.Hall, DrainingDuration: s.Parting, MaxBodies: s.Memory / bodiesShare, RegionOf: func(hall string) string { return regionOf(p.replica.View(), s, hall) },
+		Hall: s.Hall, DrainingDuration: s.Parting, MaxBodies: s.Memory / bodyMemoryDivisor, RegionOf: func(hall string) string { return regionOf(p.replica.View(), s, hall) },
 		Budget: gateway.Budget{Ratio: s.BudgetRatio, Slack: s.BudgetSlack, Window: s.BudgetWindow},
 		Meters: b.meters, Log: b.log,
 	})
 }
 
-// tellLeader passes notices on to the leader, all that wait at once.
-func (b *Box) tellLeader(ctx context.Context, p *parts) {
+// forwardNotices sends queued notices to the leader, all that are pending in one call.
+func (b *Box) forwardNotices(ctx context.Context, p *components) {
 	f := &forwarder{b, p}
 	for {
 		select {
@@ -68,7 +68,7 @@
 				addNotice(call, <-p.notices)
 			}
 			ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
-			_, _ = f.Forward(ctx, call) // repeated while it lasts
+			_, _ = f.Forward(ctx, call) // notices are repeated while their cause lasts
 			cancel()
 		case <-ctx.Done():
 			return
@@ -76,7 +76,7 @@
 	}
 }
 
-// regionOf tells the region of a data hall by the fleet file, else by the settings.
+// regionOf returns the region of a data hall from the fleet file, else from the settings.
 func regionOf(view *state.State, s *settings.Settings, hall string) string {
 	if view.Fleet != nil && view.Fleet.Halls[hall] != nil {
 		return view.Fleet.Halls[hall].Region
@@ -84,27 +84,27 @@
 	return s.Regions[hall]
 }
 
-// tellLimit has the leader hear what a server named as its limit.
-func (p *parts) tellLimit(server string, limit dialect.Limit) {
+// forwardLimit queues a notice to the leader of the limit that a server announced.
+func (p *components) forwardLimit(server string, limit dialect.Limit) {
 	select {
 	case p.notices <- gateway.Notice{LimitedServer: server, Limit: limit}:
-	default: // told again with a later answer
+	default: // reported again with a later response
 	}
 }
 
-// restsEvery is the time between two reports of servers' long rests, so that a new leader soon knows of them.
-const restsEvery = 2 * time.Second
+// backoffReportInterval is the time between two reports of servers' long backoffs. Repeating them informs a new leader soon.
+const backoffReportInterval = 2 * time.Second
 
-// tellRests has the leader hear of servers' long rests until the context ends.
-func (p *parts) tellRests(ctx context.Context) {
-	for wait.For(ctx, restsEvery) {
+// forwardBackoffs reports servers' long backoffs to the leader until the context ends.
+func (p *components) forwardBackoffs(ctx context.Context) {
+	for wait.For(ctx, backoffReportInterval) {
 		if p.replica.View().Level < level.ServerRests {
 			continue
 		}
 		for server, left := range p.pushback.LongBackoffs() {
 			select {
 			case p.notices <- gateway.Notice{BackoffServer: server, Backoff: left}:
-			default: // told again while it lasts
+			default: // reported again while the backoff lasts
 			}
 		}
 	}
@@ -128,16 +128,17 @@
 	}
 }
 
-// listenPlatform opens what the platform and announced servers speak to.
+// listenPlatform opens the listeners for readiness checks and for calls of the platform and its
+// servers.
 func (b *Box) listenPlatform() error {
 	handlers := map[string]http.Handler{
 		b.settings.ReadyListen: platform.Ready(func() bool { ready, _ := b.ready(); return ready }),
 		b.settings.PlatformListen: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if p := b.parts.Load(); p != nil {
+			if p := b.components.Load(); p != nil {
 				p.platform.ServeHTTP(w, r)
 				return
 			}
-			starting(w, r)
+			serveStarting(w, r)
 		}),
 	}
 	for address, h := range handlers {
@@ -148,23 +149,22 @@
 		if err := b.serveHTTP(s, address); err != nil {
 			return err
 		}
-		b.others = append(b.others, s)
+		b.auxiliaryHTTP = append(b.auxiliaryHTTP, s)
 	}
 	return nil
 }
 
-// platformCluster carries out the platform's calls. It implements
-// platform.Cluster.
+// platformCluster executes the platform's calls. It implements platform.Cluster.
 type platformCluster struct {
-	box   *Box
-	parts *parts
+	box        *Box
+	components *components
 }
 
 func (c *platformCluster) forward(ctx context.Context, f *wire.Forward) (*wire.ForwardAnswer, error) {
 	if d, ok := ctx.Deadline(); ok {
 		f.DeadlineMs = uint32(max(1, time.Until(d).Milliseconds()))
 	}
-	answer, why := (&forwarder{c.box, c.parts}).Forward(ctx, f)
+	answer, why := (&forwarder{c.box, c.components}).Forward(ctx, f)
 	if why != nil {
 		c.box.meters.Refuse(why)
 		return nil, &refusedError{why}
@@ -172,13 +172,13 @@
 	return answer, nil
 }
 
-// refusedError is a call that the leader did not carry out, or may not have.
-type refusedError struct{ why *reason.Reason }
+// refusedError is the error of a call that the leader did not execute, or may not have.
+type refusedError struct{ reason *reason.Reason }
 
-// Error returns the reason's text.
-func (e *refusedError) Error() string { return e.why.Code + ": " + e.why.Title }
+// Error returns the reason's code and title.
+func (e *refusedError) Error() string { return e.reason.Code + ": " + e.reason.Title }
 
-// Apply has a configuration agreed.
+// Apply commits a configuration through the leader.
 func (c *platformCluster) Apply(ctx context.Context, number uint64, format string, text []byte) error {
 	answer, err := c.forward(ctx, &wire.Forward{
 		Kind: wire.ForwardKind_FORWARD_APPLY, Apply: &wire.ApplyFleet{Number: number, Digest: fleet.Digest(text), Text: string(text), Format: format},
@@ -188,14 +188,14 @@
 		return err
 	}
 	if answer.Apply.Outcome == string(state.Invalid) {
-		return Error.New("the leader cannot read the configuration")
+		return Error.New("the leader could not parse the configuration")
 	}
 	event.ConfigurationTaken.Log(c.box.log, zap.Uint64("number", number), zap.String("outcome", answer.Apply.Outcome),
 		zap.Uint64("winner", answer.Apply.Winner.GetNumber()), zap.Uint32("in_force", answer.Apply.InForce), zap.Uint32("boxes", answer.Apply.Boxes))
 	return nil
 }
 
-// Configuration reads back what is agreed.
+// Configuration returns the committed configuration, nil if the fleet file has another format.
 func (c *platformCluster) Configuration(ctx context.Context) ([]byte, error) {
 	answer, err := c.forward(ctx, &wire.Forward{Kind: wire.ForwardKind_FORWARD_READ, FileOnly: true})
 	if err != nil {
@@ -208,52 +208,52 @@
 	return []byte(text), err
 }
 
-// Announce passes a server's word on to the leader. One that says nothing new is
-// acknowledged without a leader, too.
+// Announce forwards a server's announcement to the leader. One without new information
+// is acknowledged even if there is no leader.
 func (c *platformCluster) Announce(ctx context.Context, a *wire.Announcement) error {
-	known := c.parts.replica.View().Announcements.Get(a.Id)
-	nothingNew := known != nil && (known.Leaving || !a.Leaving) && known.Address == a.Address && known.Service == a.Service && (known.Cold || !a.Cold)
-	if nothingNew {
-		short, cancel := context.WithTimeout(ctx, knownTimeout)
+	known := c.components.replica.View().Announcements.Get(a.Id)
+	redundant := known != nil && (known.Leaving || !a.Leaving) && known.Address == a.Address && known.Service == a.Service && (known.Cold || !a.Cold)
+	if redundant {
+		short, cancel := context.WithTimeout(ctx, redundantAnnounceTimeout)
 		defer cancel()
 		ctx = short
 	}
 	_, err := c.forward(ctx, &wire.Forward{Kind: wire.ForwardKind_FORWARD_ANNOUNCE, Announcement: a})
-	if nothingNew {
+	if redundant {
 		return nil
 	}
 	return err
 }
 
-// Withdraw passes a server's end on to the leader.
+// Withdraw forwards the deregistration of a server to the leader.
 func (c *platformCluster) Withdraw(ctx context.Context, w *wire.Withdraw) error {
 	_, err := c.forward(ctx, &wire.Forward{Kind: wire.ForwardKind_FORWARD_WITHDRAW, Withdraw: w})
 	return err
 }
 
-// Evacuate has a data hall evacuated, or that taken back.
+// Evacuate starts the evacuation of a data hall, or cancels it.
 func (c *platformCluster) Evacuate(ctx context.Context, hall string, undo bool) error {
 	_, err := c.forward(ctx, &wire.Forward{Kind: wire.ForwardKind_FORWARD_EVACUATE, Evacuate: &wire.EvacuateHall{Hall: hall, Undo: undo}})
 	var refused *refusedError
-	if errors.As(err, &refused) && refused.why == reason.UnknownHall {
+	if errors.As(err, &refused) && refused.reason == reason.UnknownHall {
 		return platform.ErrUnknownHall
 	}
 	return err
 }
 
-// Observer returns where the leader hears announcements.
+// Observer returns the address at which the leader receives announcements, "" for this box.
 func (c *platformCluster) Observer() string {
-	leader := c.parts.spread.Leader()
-	if _, held := c.parts.replica.Lease(); !held && leader == c.parts.replica.ID() {
-		leader = "" // it led once
+	leader := c.components.spread.Leader()
+	if _, held := c.components.replica.Lease(); !held && leader == c.components.replica.ID() {
+		leader = "" // this box has lost the leadership
 	}
-	return observer(c.parts.replica.View().Members, leader, c.box.settings.Box)
+	return observerAddress(c.components.replica.View().Members, leader, c.box.settings.Box)
 }
 
-// observer returns the address of the leader, "" where that is the own box. Where none is
-// known it is that of the next box with a disk, which may reach one: a box that is cut off
-// must not keep the servers' words to itself.
-func observer(members map[string]*wire.Member, leader, self string) string {
+// observerAddress returns the announce address of the leader, "" if this box leads. If no leader is
+// known, it returns the address of the next box with a disk, which may reach one: a box that is
+// cut off must not be the only receiver of servers' announcements.
+func observerAddress(members map[string]*wire.Member, leader, self string) string {
 	var others []string
 	for name, m := range members {
 		switch {
@@ -273,17 +273,17 @@
 	return members[others[i%len(others)]].AnnounceAddress
 }
 
-// Malformed notes a call that could not be read.
+// Malformed counts and logs a call that could not be parsed.
 func (c *platformCluster) Malformed(what string, err error) {
 	c.box.meters.Refuse(reason.BadRequest)
 	event.CallMalformed.Log(c.box.log, zap.String("call", what), event.Cause(err))
 }
 
-// StrangeWord counts a word that names no server, and writes its line where none of its kind was written lately:
-// another writer may send one each second.
+// StrangeWord counts a call that names no server, and logs it at most once per logInterval and kind: a client that is
+// no server may send one each second.
 func (c *platformCluster) StrangeWord(call string, why platform.Strangeness, err error) {
 	c.box.meters.Count(meter.StrangeWords, string(why)).Inc()
-	if c.box.strange.due(string(why), time.Now()) {
+	if c.box.invalidCallLog.allow(string(why), time.Now()) {
 		event.CallMalformed.Log(c.box.log, zap.String("call", call), zap.String("why", string(why)), event.Cause(err))
 	}
 }
--- a/box/platform_test.go
+++ b/box/platform_test.go
@@ -24,30 +24,30 @@
 	"leverdrum/settings"
 )
 
-// within is how long a test waits for what must come; far above what it takes.
-const within = 20 * time.Second
+// testTimeout bounds waiting for an expected event, far above the usual duration.
+const testTimeout = 20 * time.Second
 
-// one is a cluster of one box before stand-ins of the platform's servers.
-type one struct {
+// singleBox is a cluster of one box with simulated servers of the platform.
+type singleBox struct {
 	t                     *testing.T
 	entry, control, ready string
 	servers               []*standin.Server
 	settings              *settings.Settings
 	box                   *box.Box
 	log                   *zap.Logger
-	// turnCallsAway is that of the servers that are started from then on.
-	turnCallsAway func() string
+	// callBackoff is the TurnCallsAway function of servers that are started after it is set.
+	callBackoff func() string
 }
 
-// ownIP is a loopback number of this process: no other process, and no outgoing
+// ownIP is a loopback address specific to this process: no other process, and no outgoing
 // connection, takes a port there between its choice and its use.
 var ownIP = fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>16&63, os.Getpid()>>8&255, os.Getpid()&255)
 
 func address(t *testing.T) string { return addressAt(t, ownIP) }
 
-// given are the ports that tests of this process were given. The system may hand out one again as soon as it is free, and boxes of
-// one cluster use the same port at addresses of their own.
-var given sync.Map
+// usedPorts are the ports already assigned in this process. The system may assign a port again as soon as it is free, and boxes
+// of one cluster use the same port at different addresses.
+var usedPorts sync.Map
 
 func addressAt(t *testing.T, ip string) string {
 	for {
@@ -57,13 +57,14 @@
 		}
 		address := l.Addr().(*net.TCPAddr)
 		l.Close()
-		if _, again := given.LoadOrStore(address.Port, true); !again {
+		if _, again := usedPorts.LoadOrStore(address.Port, true); !again {
 			return address.String()
 		}
 	}
 }
 
-// settingsOf are the settings that all boxes have; form is set for those with a disk.
+// settingsOf returns the settings that all boxes have. The form setting is true only for the seed itself, the box with a
+// disk.
 func settingsOf(t *testing.T, name, peerAt, seed, entry, ready, control, roles string) string {
 	return fmt.Sprintf(`[box]
 name = %s
@@ -86,9 +87,9 @@
 `, name, roles, seed, peerAt == seed, peerAt, entry, ready, addressAt(t, name), control)
 }
 
-// startOne starts the box in this process.
-func startOne(t *testing.T) *one {
-	o := &one{t: t, entry: address(t), control: address(t), ready: address(t), log: keptLog(t)}
+// startSingleBox starts the box in this process.
+func startSingleBox(t *testing.T) *singleBox {
+	o := &singleBox{t: t, entry: address(t), control: address(t), ready: address(t), log: newTestLog(t)}
 	p := address(t)
 	text := settingsOf(t, ownIP, p, p, o.entry, o.ready, o.control, "control,entry") + fmt.Sprintf(`[data]
 folder = %s
@@ -108,7 +109,7 @@
 	return o
 }
 
-func (o *one) start() {
+func (o *singleBox) start() {
 	b, err := box.Start(o.settings, peer.Plain{}, o.log)
 	if err != nil {
 		o.t.Fatal(err)
@@ -116,8 +117,8 @@
 	o.box = b
 }
 
-// keptLog keeps what boxes log, in a file that stays where the test fails.
-func keptLog(t *testing.T) *zap.Logger {
+// newTestLog returns a logger that writes to a file, which is kept if the test fails.
+func newTestLog(t *testing.T) *zap.Logger {
 	file, err := os.CreateTemp("", "leverdrum-box-*.log")
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +126,7 @@
 	t.Cleanup(func() {
 		file.Close()
 		if t.Failed() {
-			t.Log("what the boxes logged is in ", file.Name())
+			t.Log("log of the boxes: ", file.Name())
 			return
 		}
 		os.Remove(file.Name())
@@ -133,14 +134,14 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.Lock(file), zapcore.InfoLevel))
 }
 
-// restart ends the box at once and starts it again: it leads in another term and
-// inherits the orders that are open.
-func (o *one) restart() {
+// restart kills the box and starts it again: it leads in another term and inherits
+// the open orders.
+func (o *singleBox) restart() {
 	o.box.Kill()
 	o.start()
 }
 
-// config is a configuration of one service with models of a size each.
+// config returns a configuration of one service with models of equal size.
 func config(version int, models ...string) string {
 	var list []string
 	for _, m := range models {
@@ -151,10 +152,10 @@
 		"backends":[{"name":"s","max_connections":100,"engine":{"slots":64,"weights_mb":220,"adapter_slots":3,"loads_per_s":50,"models":[%s]}}]}`, version, strings.Join(list, ","))
 }
 
-func (o *one) server(id string, models ...string) *standin.Server {
+func (o *singleBox) server(id string, models ...string) *standin.Server {
 	s := &standin.Server{
 		ID: id, Service: "s", Hall: "h", Room: 220, AdapterSlots: 3, LoadTime: 100 * time.Millisecond, Beat: 100 * time.Millisecond,
-		Control: []string{o.control}, Events: 3, Weights: map[string]int{}, TurnCallsAway: o.turnCallsAway,
+		Control: []string{o.control}, Events: 3, Weights: map[string]int{}, TurnCallsAway: o.callBackoff,
 	}
 	for i := range 9 {
 		s.Weights[fmt.Sprint("m", i)] = 70
@@ -167,7 +168,7 @@
 	return s
 }
 
-func (o *one) apply(text string) int {
+func (o *singleBox) apply(text string) int {
 	resp, err := http.Post("http://"+o.control+"/Config.Replace", "application/json", strings.NewReader(text))
 	if err != nil {
 		return 0
@@ -176,8 +177,8 @@
 	return resp.StatusCode
 }
 
-// ask sends one request for a model and returns its status and body.
-func (o *one) ask(id, model string) (int, string) {
+// sendModelRequest sends one request for a model and returns the response's status and body.
+func (o *singleBox) sendModelRequest(id, model string) (int, string) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+o.entry+"/a/x?q=1", bytes.NewReader([]byte("body")))
 	if err != nil {
 		o.t.Fatal(err)
@@ -195,26 +196,26 @@
 	return resp.StatusCode, string(body)
 }
 
-const whole = "id: 1\ndata: %[1]s\n\nid: 2\ndata: %[1]s\n\nid: 3\ndata: %[1]s\n\n"
+const completeStream = "id: 1\ndata: %[1]s\n\nid: 2\ndata: %[1]s\n\nid: 3\ndata: %[1]s\n\n"
 
-func TestWholePath(t *testing.T) {
-	o := startOne(t)
+func TestEndToEndRequests(t *testing.T) {
+	o := startSingleBox(t)
 	g := NewWithT(t)
-	g.Eventually(func() int { return o.apply(config(1, "m1", "m2")) }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return o.apply(config(1, "m1", "m2")) }, testTimeout).Should(Equal(http.StatusOK))
 	o.server("i-1", "m1")
-	g.Eventually(func() int { s, _ := o.ask("first", "m1"); return s }, within).Should(Equal(http.StatusOK))
-	status, body := o.ask("r1", "m1")
+	g.Eventually(func() int { s, _ := o.sendModelRequest("first", "m1"); return s }, testTimeout).Should(Equal(http.StatusOK))
+	status, body := o.sendModelRequest("r1", "m1")
 	g.Expect(status).To(Equal(http.StatusOK))
-	g.Expect(body).To(Equal(fmt.Sprintf(whole, "i-1")))
+	g.Expect(body).To(Equal(fmt.Sprintf(completeStream, "i-1")))
 
-	status, body = o.ask("r2", "m2") // loaded because it is asked for
+	status, body = o.sendModelRequest("r2", "m2") // loaded on demand
 	g.Expect(status).To(Equal(http.StatusOK), body)
-	status, body = o.ask("r3", "m1/a5") // and so is an adapter
+	status, body = o.sendModelRequest("r3", "m1/a5") // an adapter is loaded on demand, too
 	g.Expect(status).To(Equal(http.StatusOK), body)
-	status, body = o.ask("r4", "unknown")
+	status, body = o.sendModelRequest("r4", "unknown")
 	g.Expect(status).To(Equal(http.StatusNotFound), body)
 
-	g.Expect(o.apply(config(1, "m1"))).To(Equal(http.StatusOK), "other content under the version held is acknowledged and changes nothing")
+	g.Expect(o.apply(config(1, "m1"))).To(Equal(http.StatusOK), "other content with the current version is acknowledged and ignored")
 	g.Expect(o.apply("{")).To(Equal(http.StatusBadRequest))
 	resp, err := http.Get("http://" + o.control + "/Config.Get")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -227,25 +228,25 @@
 	}
 }
 
-func TestModelOfALeavingServerIsLoadedElsewhere(t *testing.T) {
-	o := startOne(t)
+func TestModelOfDrainingServerLoadedElsewhere(t *testing.T) {
+	o := startSingleBox(t)
 	g := NewWithT(t)
-	g.Eventually(func() int { return o.apply(config(1, "m1")) }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return o.apply(config(1, "m1")) }, testTimeout).Should(Equal(http.StatusOK))
 	first := o.server("i-1", "m1")
-	g.Eventually(func() int { s, _ := o.ask("first", "m1"); return s }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { s, _ := o.sendModelRequest("first", "m1"); return s }, testTimeout).Should(Equal(http.StatusOK))
 	second := o.server("i-2")
 	first.Drain()
-	g.Eventually(func() bool { return second.Holds("m1") }, within).Should(BeTrue())
-	g.Eventually(func() string { _, body := o.ask("after", "m1"); return body }, within).Should(Equal(fmt.Sprintf(whole, "i-2")))
+	g.Eventually(func() bool { return second.Holds("m1") }, testTimeout).Should(BeTrue())
+	g.Eventually(func() string { _, body := o.sendModelRequest("after", "m1"); return body }, testTimeout).Should(Equal(fmt.Sprintf(completeStream, "i-2")))
 }
 
-// Orders that get no answer and are carried out late, after newer ones: no server
-// is ever ordered beyond its room, and what is asked for is served in the end.
-func TestLateOrdersNeverOverfill(t *testing.T) {
-	o := startOne(t)
+// Orders may get no response and be executed late, after newer ones. No server may ever
+// be ordered to exceed its memory, and all requested models are served in the end.
+func TestLateOrdersNeverExceedMemory(t *testing.T) {
+	o := startSingleBox(t)
 	g := NewWithT(t)
 	models := []string{"m1", "m2", "m3", "m4", "m5", "m6", "m7"}
-	g.Eventually(func() int { return o.apply(config(1, models...)) }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return o.apply(config(1, models...)) }, testTimeout).Should(Equal(http.StatusOK))
 	random, lateness := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex // of lateness
 	for i := range 3 {
@@ -270,7 +271,7 @@
 			if random.IntN(2) == 0 {
 				model += fmt.Sprint("/a", 1+random.IntN(8))
 			}
-			wg.Go(func() { o.ask(fmt.Sprint("r", n, model), model) })
+			wg.Go(func() { o.sendModelRequest(fmt.Sprint("r", n, model), model) })
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -279,18 +280,19 @@
 		g.Expect(s.Faults()).To(BeEmpty(), s.ID)
 	}
 	for _, m := range models {
-		g.Eventually(func() int { status, _ := o.ask("end-"+m, m); return status }, within).Should(Equal(http.StatusOK), m)
+		g.Eventually(func() int { status, _ := o.sendModelRequest("end-"+m, m); return status }, testTimeout).Should(Equal(http.StatusOK), m)
 	}
 }
 
-// An order of an earlier leader that is carried out long after that leader's end,
-// while nothing else was ordered of the server: the next order's leader looks first.
-func TestOrderOfAnEarlierLeaderIsNoticed(t *testing.T) {
-	o := startOne(t)
+// An order of an earlier leader may be executed long after that leader's termination,
+// with no other order to the server in between. The leader that issues the next order
+// must check the server's state first.
+func TestOrderFromPreviousLeaderDetected(t *testing.T) {
+	o := startSingleBox(t)
 	g := NewWithT(t)
-	g.Eventually(func() int { return o.apply(config(1, "m1")) }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { return o.apply(config(1, "m1")) }, testTimeout).Should(Equal(http.StatusOK))
 	s := o.server("i-1", "m1")
-	g.Eventually(func() int { status, _ := o.ask("first", "m1"); return status }, within).Should(Equal(http.StatusOK))
+	g.Eventually(func() int { status, _ := o.sendModelRequest("first", "m1"); return status }, testTimeout).Should(Equal(http.StatusOK))
 
 	const late = 4 * time.Second // long after the next leader closed the order
 	sent := make(chan struct{})
@@ -302,24 +304,24 @@
 	asked := make(chan struct{})
 	var answer string
 	go func() {
-		_, answer = o.ask("early", "m1/a1")
+		_, answer = o.sendModelRequest("early", "m1/a1")
 		close(asked)
 	}()
 	select {
 	case <-sent:
 	case <-asked:
 		t.Fatalf("the request was answered before the adapter was ordered: %s", answer)
-	case <-time.After(within):
+	case <-time.After(testTimeout):
 		t.Fatal("the adapter was not ordered")
 	}
 	o.box.Kill()
 	s.SetLate(nil)
-	g.Eventually(asked, within).Should(BeClosed())
+	g.Eventually(asked, testTimeout).Should(BeClosed())
 	o.start()
-	g.Eventually(func() int { status, _ := o.ask("again", "m1"); return status }, within).Should(Equal(http.StatusOK))
-	g.Eventually(func() bool { return s.HoldsAdapter("m1", "a1") }, within).Should(BeTrue(), "carried out after its leader's end")
+	g.Eventually(func() int { status, _ := o.sendModelRequest("again", "m1"); return status }, testTimeout).Should(Equal(http.StatusOK))
+	g.Eventually(func() bool { return s.HoldsAdapter("m1", "a1") }, testTimeout).Should(BeTrue(), "executed after its leader terminated")
 	for _, a := range []string{"a2", "a3", "a4"} {
-		g.Eventually(func() int { status, _ := o.ask("for-"+a, "m1/"+a); return status }, within).Should(Equal(http.StatusOK), a)
+		g.Eventually(func() int { status, _ := o.sendModelRequest("for-"+a, "m1/"+a); return status }, testTimeout).Should(Equal(http.StatusOK), a)
 	}
 	g.Expect(s.Faults()).To(BeEmpty())
 }
--- a/box/quotas.go
+++ b/box/quotas.go
@@ -20,31 +20,33 @@
 )
 
 const (
-	// passOver is how long a box is not asked for leases again that did not answer. Each ask of it
-	// would cost the requests that wait the whole time of an answer.
-	passOver = 500 * time.Millisecond
-	// leaderSure is the age of the news up to which there surely is a leader: a parent holds a
-	// question for 400 ms. A leader that leads and is only slow must not have another allocator
-	// beside it, or both lease their part for as long as it is slow.
-	leaderSure = 700 * time.Millisecond
+	// lessorRetryDelay is how long a box that did not respond is not asked for leases again. Each
+	// call to it would delay the waiting requests by the full call timeout.
+	lessorRetryDelay = 500 * time.Millisecond
+	// maxLeaderStateAge is the age of the last state update up to which a leader certainly exists: a
+	// parent holds a follow request for 400 ms. While a leader is merely slow, no second lessor
+	// may act beside it, or both lease their share for as long as it is slow.
+	maxLeaderStateAge = 700 * time.Millisecond
 )
 
-// leased says what a box's limits are of.
-type leased struct {
-	// servers: what backend servers name, else the quotas of workspaces.
+// limitKind describes one kind of shared limits.
+type limitKind struct {
+	// servers selects the limits that backend servers announce; otherwise the limits are the
+	// quotas of workspaces.
 	servers bool
-	// since is the level from which on builds lease them.
-	since level.Level
-	// window is the span over which they are judged.
+	// minLevel is the first level whose builds lease these limits.
+	minLevel level.Level
+	// window is the time over which a rate is compared with its limit.
 	window time.Duration
 }
 
-// serverWindow is the span over which servers' limits are judged.
+// serverWindow is the time over which a server's rate is compared with its limit.
 const serverWindow = 4 * time.Second
 
-// quotas is a box's part in limits that hold for all boxes together, of one kind: it asks for leases, and answers others.
-type quotas struct {
-	of      leased
+// sharedLimits enforces limits of one kind that apply to all boxes together: it requests leases, and grants leases to
+// other boxes.
+type sharedLimits struct {
+	kind    limitKind
 	self    string
 	replica *replica.Replica
 	spread  *spread.Distributor
@@ -53,42 +55,42 @@
 	limiter *rate.Limiter
 	now     func() time.Duration
 
-	mu     sync.Mutex
-	failed map[string]time.Duration // boxes that did not answer, and when
+	mu       sync.Mutex
+	failedAt map[string]time.Duration // boxes that did not respond, and when
 }
 
-func newQuotas(of leased, self *wire.Member, r *replica.Replica, s *spread.Distributor, pool *peer.Pool) *quotas {
+func newSharedLimits(of limitKind, self *wire.Member, r *replica.Replica, s *spread.Distributor, pool *peer.Pool) *sharedLimits {
 	now := clock.New().Now
-	q := &quotas{of: of, self: self.Box, replica: r, spread: s, pool: pool, now: now, failed: map[string]time.Duration{}}
+	q := &sharedLimits{kind: of, self: self.Box, replica: r, spread: s, pool: pool, now: now, failedAt: map[string]time.Duration{}}
 	q.lessor = rate.NewLessor(state.ProcessID(self), now)
 	q.limiter = rate.NewLimiter(rate.Options{
-		Lease: q.lease, Now: now, Window: of.window,
+		Lease: q.requestLeases, Now: now, Window: of.window,
 		Boxes: func() int { return len(r.View().Members) },
 	})
 	return q
 }
 
-// answer answers a box, this one included. A box that does not hold the lease of its leadership is not the leader: by
-// the time that it answers another may be.
-func (q *quotas) answer(box string, call *wire.QuotaCall) *wire.QuotaAnswer {
+// grantLeases grants leases to a box, which may be this one. A box without a valid leader lease does not act as the
+// leader: another may lead by the time it answers.
+func (q *sharedLimits) grantLeases(box string, call *wire.QuotaCall) *wire.QuotaAnswer {
 	view := q.replica.View()
 	_, leads := q.replica.Lease()
-	lead := rate.Leadership{IsLeader: leads, Boxes: len(view.Members)}
+	leadership := rate.Leadership{IsLeader: leads, Boxes: len(view.Members)}
 	if leads {
-		lead.Term = q.replica.Status().Term
+		leadership.Term = q.replica.Status().Term
 	}
-	asks := make([]rate.LimitRequest, 0, len(call.Asks))
+	requests := make([]rate.LimitRequest, 0, len(call.Asks))
 	for _, a := range call.Asks {
-		asks = append(asks, rate.LimitRequest{
+		requests = append(requests, rate.LimitRequest{
 			Key: rate.Key{Name: a.Workspace, Rank: int(a.Rank)}, PerSecond: dialect.Limit(a.MilliLimit).PerSecond(),
 			LeaseRequest: rate.LeaseRequest{Pending: a.Need, SmallestPending: a.Least, Prefetch: a.Ahead, Unused: a.Unused},
 		})
 	}
 	limitOf := quotaLimits(view)
-	if q.of.servers {
+	if q.kind.servers {
 		limitOf = serverLimits(view)
 	}
-	answer := q.lessor.Lease(box, call.Epoch, lead, limitOf, asks)
+	answer := q.lessor.Lease(box, call.Epoch, leadership, limitOf, requests)
 	out := &wire.QuotaAnswer{Epoch: answer.Epoch}
 	for _, g := range answer.Grants {
 		after := min(max(g.RetryAfter.Milliseconds(), 0), math.MaxUint32)
@@ -97,7 +99,7 @@
 	return out
 }
 
-// quotaLimits tells what workspaces are bounded by.
+// quotaLimits returns a function that returns the quotas of workspaces.
 func quotaLimits(view *state.State) func(rate.LimitRequest) (rate.Limit, bool) {
 	return func(a rate.LimitRequest) (rate.Limit, bool) {
 		if view.Fleet == nil {
@@ -111,45 +113,46 @@
 	}
 }
 
-// serverLimits tells what servers are bounded by: as agreed, else as the box that asks was told.
+// serverLimits returns a function that returns the limits of servers: from the committed state, else as last reported
+// by the server to the requesting box.
 func serverLimits(view *state.State) func(rate.LimitRequest) (rate.Limit, bool) {
 	return func(a rate.LimitRequest) (rate.Limit, bool) {
 		if agreed := throttle.EffectiveLimit(view.LimitOf(a.Name), view.WarmUpLimit(a.Name)); agreed.Bounded() {
 			return agreed, true
 		}
-		told := throttle.LimitOf(dialect.LimitOf(a.PerSecond))
-		return told, told.Bounded()
+		reported := throttle.LimitOf(dialect.LimitOf(a.PerSecond))
+		return reported, reported.Bounded()
 	}
 }
 
-// lease asks the leader, or else another box. It implements rate.Options.Lease.
-func (q *quotas) lease(ctx context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
-	call := &wire.QuotaCall{Epoch: epoch, Servers: q.of.servers}
+// requestLeases requests leases from the leader, or else from another box. It implements rate.Options.Lease.
+func (q *sharedLimits) requestLeases(ctx context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
+	call := &wire.QuotaCall{Epoch: epoch, Servers: q.kind.servers}
 	for _, a := range asks {
 		ask := &wire.QuotaAsk{Workspace: a.Name, Rank: uint32(a.Rank), Need: a.Pending, Least: a.SmallestPending, Ahead: a.Prefetch, Unused: a.Unused}
-		if q.of.servers {
+		if q.kind.servers {
 			ask.MilliLimit = uint32(dialect.LimitOf(a.PerSecond))
 		}
 		call.Asks = append(call.Asks, ask)
 	}
 	box := q.lessorBox()
 	if box == q.self {
-		return answerOf(q.answer(q.self, call)), nil
+		return decodeAnswer(q.grantLeases(q.self, call)), nil
 	}
 	response, err := q.pool.Call(ctx, box, &wire.Request{Kind: &wire.Request_Quota{Quota: call}})
 	if err == nil && response.GetQuota() == nil {
-		err = Error.New("box %s gave another answer than asked for", box)
+		err = Error.New("box %s returned an unexpected response type", box)
 	}
 	if err != nil {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		q.failed[box] = q.now()
+		q.failedAt[box] = q.now()
 		return rate.LeaseResponse{}, Error.Wrap(err)
 	}
-	return answerOf(response.GetQuota()), nil
+	return decodeAnswer(response.GetQuota()), nil
 }
 
-func answerOf(a *wire.QuotaAnswer) rate.LeaseResponse {
+func decodeAnswer(a *wire.QuotaAnswer) rate.LeaseResponse {
 	out := rate.LeaseResponse{Epoch: a.Epoch}
 	for _, g := range a.Grants {
 		grant := rate.Grant{Leased: g.Leased, RetryAfter: time.Duration(g.AfterMs) * time.Millisecond}
@@ -158,35 +161,36 @@
 	return out
 }
 
-// lessorBox returns whom to ask now.
-func (q *quotas) lessorBox() string {
+// lessorBox returns the box to request leases from now.
+func (q *sharedLimits) lessorBox() string {
 	age, heard := q.spread.StateAge()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return lessorOf(q.replica.View().Members, lessorChoice{
-		self: q.self, leader: wire.BoxOf(q.spread.Leader()), leads: heard && age < leaderSure, since: q.of.since, answers: q.answers,
+	return chooseLessor(q.replica.View().Members, lessorChoice{
+		self: q.self, leader: wire.BoxOf(q.spread.Leader()), leaderCertain: heard && age < maxLeaderStateAge, minLevel: q.kind.minLevel, responsive: q.responsive,
 	})
 }
 
-// lessorChoice is what the choice of a lessor depends on, beside the boxes.
+// lessorChoice is the input to chooseLessor besides the member list.
 type lessorChoice struct {
-	self, leader string
-	leads        bool        // there surely is a leader
-	since        level.Level // from which on builds can be asked
-	answers      func(box string) bool
+	self, leader  string
+	leaderCertain bool        // a leader certainly exists
+	minLevel      level.Level // first level whose builds grant such leases
+	responsive    func(box string) bool
 }
 
-// lessorOf returns whom to ask: the leader, else the first of the other boxes with a disk that answered lately, so that all
-// boxes that reach no leader ask the same one; else the box itself. A build that knows no such limits is asked for none: under
-// a leader of such a build the boxes that know them share their part of the rate.
-func lessorOf(members map[string]*wire.Member, c lessorChoice) string {
-	knows := func(box string) bool { return level.Level(members[box].GetLevel()) >= c.since }
-	if knows(c.leader) && (c.leads || c.answers(c.leader)) {
+// chooseLessor returns the box to request leases from: the leader, else the first by name of the other boxes with a disk
+// that have not failed to respond recently, so that all boxes that reach no leader choose the same one; else the box itself.
+// Builds that do not support such limits are never chosen: under a leader with such a build, the boxes that support them
+// divide their share of the rate among themselves.
+func chooseLessor(members map[string]*wire.Member, c lessorChoice) string {
+	knows := func(box string) bool { return level.Level(members[box].GetLevel()) >= c.minLevel }
+	if knows(c.leader) && (c.leaderCertain || c.responsive(c.leader)) {
 		return c.leader
 	}
 	var disks []string
 	for name, m := range members {
-		if m.Disk && !m.Leaving && name != c.leader && knows(name) && (name == c.self || c.answers(name)) {
+		if m.Disk && !m.Leaving && name != c.leader && knows(name) && (name == c.self || c.responsive(name)) {
 			disks = append(disks, name)
 		}
 	}
@@ -196,7 +200,7 @@
 	return slices.Min(disks)
 }
 
-func (q *quotas) answers(box string) bool {
-	at, failed := q.failed[box]
-	return !failed || q.now()-at > passOver
+func (q *sharedLimits) responsive(box string) bool {
+	at, failed := q.failedAt[box]
+	return !failed || q.now()-at > lessorRetryDelay
 }
--- a/box/quotas_test.go
+++ b/box/quotas_test.go
@@ -9,7 +9,7 @@
 	"leverdrum/wire"
 )
 
-func TestWhoIsAskedForQuotas(t *testing.T) {
+func TestChooseLessor(t *testing.T) {
 	members := func(leaders level.Level) map[string]*wire.Member {
 		m := map[string]*wire.Member{}
 		for _, name := range []string{"d1", "d2", "d3"} {
@@ -19,7 +19,7 @@
 		m["e1"] = &wire.Member{Box: "e1", Level: uint32(level.Newest)}
 		return m
 	}
-	mute := func(silent ...string) func(string) bool {
+	responsiveExcept := func(silent ...string) func(string) bool {
 		return func(box string) bool {
 			for _, s := range silent {
 				if s == box {
@@ -37,15 +37,15 @@
 		answers func(string) bool
 		want    string
 	}{
-		{"the leader", level.Newest, "d2", true, mute(), "d2"},
-		{"a leader that is slow and surely leads", level.Newest, "d2", true, mute("d2"), "d2"},
-		{"a leader that is silent", level.Newest, "d2", false, mute("d2"), "d1"},
-		{"none is known", level.Newest, "", false, mute(), "d1"},
-		{"a box with a disk that is silent, too", level.Newest, "d2", false, mute("d1", "d2"), "d3"},
-		{"nobody answers", level.Newest, "d2", false, mute("d1", "d2", "d3"), "e1"},
-		{"a leader whose build knows no quotas", level.First, "d2", true, mute(), "d1"},
+		{"the leader", level.Newest, "d2", true, responsiveExcept(), "d2"},
+		{"a slow leader that certainly leads", level.Newest, "d2", true, responsiveExcept("d2"), "d2"},
+		{"an unresponsive leader", level.Newest, "d2", false, responsiveExcept("d2"), "d1"},
+		{"no known leader", level.Newest, "", false, responsiveExcept(), "d1"},
+		{"an unresponsive leader and an unresponsive box with a disk", level.Newest, "d2", false, responsiveExcept("d1", "d2"), "d3"},
+		{"no box responds", level.Newest, "d2", false, responsiveExcept("d1", "d2", "d3"), "e1"},
+		{"a leader whose build does not support quotas", level.First, "d2", true, responsiveExcept(), "d1"},
 	} {
-		got := lessorOf(members(c.leaders), lessorChoice{self: "e1", leader: c.leader, leads: c.leads, since: level.Workspaces, answers: c.answers})
+		got := chooseLessor(members(c.leaders), lessorChoice{self: "e1", leader: c.leader, leaderCertain: c.leads, minLevel: level.Workspaces, responsive: c.answers})
 		NewWithT(t).Expect(got).To(Equal(c.want), c.name)
 	}
 }
--- a/box/reports.go
+++ b/box/reports.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// reportEvery is the time between two readings of a model server's state.
-	reportEvery = 500 * time.Millisecond
-	// reportTimeout bounds one reading.
+	// reportInterval is the time between two polls of a model server's state.
+	reportInterval = 500 * time.Millisecond
+	// reportTimeout bounds one poll.
 	reportTimeout = 400 * time.Millisecond
-	// readAll is the count of model servers up to which a box reads all of them;
-	// beyond, it reads those of its own data hall, and learns of the others from
-	// the agreed state only.
-	readAll = 64
+	// maxPolledServers is the number of model servers up to which a box polls all of
+	// them. With more, it polls those of its own data hall, and learns of the others
+	// only from the replicated state.
+	maxPolledServers = 64
 )
 
-// readReports takes over what model servers say of their load and of leaving,
+// pollReports records the load and the draining state that model servers report,
 // whether or not a controller leads.
-func (b *Box) readReports(ctx context.Context, p *parts) {
+func (b *Box) pollReports(ctx context.Context, p *components) {
 	client := engine.NewClient(func() bool { return false }, p.pushback)
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
-		if f := p.replica.View().Fleet; f != nil && tells(f) {
-			b.readRound(ctx, p, client, f)
+		if f := p.replica.View().Fleet; f != nil && hasPolledServers(f) {
+			b.pollServers(ctx, p, client, f)
 		}
 		select {
 		case <-ticker.C:
@@ -38,10 +38,10 @@
 	}
 }
 
-// tells reports whether some server of the fleet tells its state when asked. Where all announce
-// themselves there is nothing to read, and no table of routes is made for it: that took a
-// fifth of what a resting box allocated beside 240 such servers.
-func tells(f *fleet.Fleet) bool {
+// hasPolledServers reports whether some server of the fleet is polled for its state. If all
+// announce themselves there is nothing to poll, and the table of routes is not copied: that
+// was a fifth of the allocations of an idle box with 240 such servers.
+func hasPolledServers(f *fleet.Fleet) bool {
 	for _, s := range f.Servers {
 		if s.Pool == "" {
 			return true
@@ -50,19 +50,19 @@
 	return false
 }
 
-func (b *Box) readRound(ctx context.Context, p *parts, client *engine.Client, f *fleet.Fleet) {
+func (b *Box) pollServers(ctx context.Context, p *components, client *engine.Client, f *fleet.Fleet) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for name, backend := range p.directory.Backends() {
 		s := f.Servers[name]
-		if s == nil || s.Pool != "" || len(f.Servers) > readAll && s.Hall != b.settings.Hall {
+		if s == nil || s.Pool != "" || len(f.Servers) > maxPolledServers && s.Hall != b.settings.Hall {
 			continue
 		}
 		wg.Go(func() {
 			st, err := client.At(s.Name, s.Address).State(ctx)
 			if err != nil {
-				return // the last word stands
+				return // keep the last reported state
 			}
 			backend.RecordReport(st.Running + st.Waiting)
 			backend.SetDraining(st.Leaving)
--- a/box/stop.go
+++ b/box/stop.go
@@ -9,24 +9,24 @@
 	"leverdrum/event"
 )
 
-// closeTimeout bounds the end of operators' calls.
+// closeTimeout bounds how long Kill waits for operators' calls.
 const closeTimeout = 2 * time.Second
 
-// Stop ends the box without cutting off anything:
+// Stop shuts the box down gracefully:
 //
-//  1. The readiness check fails; requests are still taken for as long as the
-//     balancer may lag. Kept connections are closed after their next answer, but
-//     idle ones not yet: a request may be on its way on them.
-//  2. The list shows the box as leaving, and leadership is handed over.
-//  3. Further requests are refused as not run; those in flight are finished.
+//  1. The readiness check fails; requests are still accepted for as long as the
+//     load balancer may lag. Keep-alive connections are closed after their next
+//     response, but idle ones not yet: a request may be in transit on them.
+//  2. The member list shows the box as draining, and leadership is transferred.
+//  3. Further requests are refused as not run; those in flight are completed.
 //  4. Everything is closed.
 //
-// The error tells that requests were still in flight when the time was up.
+// The error means that requests were still in flight when the stop timeout expired.
 func (b *Box) Stop() error {
 	b.stopping.Store(true) // (1)
 	event.Stopping.Log(b.log)
-	b.id.setLeaving() // (2)
-	p := b.parts.Load()
+	b.id.setDraining() // (2)
+	p := b.components.Load()
 	if p != nil {
 		p.entry.Drain()
 		p.gateway.Drain()
@@ -40,7 +40,7 @@
 	return err
 }
 
-func (b *Box) drain(p *parts) error {
+func (b *Box) drain(p *components) error {
 	if b.entryHTTP == nil {
 		return nil
 	}
@@ -48,17 +48,17 @@
 		p.entry.Stop()
 		p.gateway.Stop()
 	}
-	if err := endHTTP(b.entryHTTP, b.settings.StopTimeout); err != nil {
+	if err := shutdownHTTP(b.entryHTTP, b.settings.StopTimeout); err != nil {
 		event.CutOff.Log(b.log, event.Cause(err))
 		return Error.Wrap(err)
 	}
 	return nil
 }
 
-// endHTTP lets a server finish what it is answering, and cuts off what takes longer than a
-// time. Then nothing of it is left to wait for: a box that waited twice for the same streams
-// was killed before its stop had ended.
-func endHTTP(s *http.Server, within time.Duration) error {
+// shutdownHTTP lets a server complete its requests in flight, and closes the connections of those
+// that take longer than the given time. A later call then has nothing to wait for: a box that
+// waited twice for the same streams was killed before it had stopped.
+func shutdownHTTP(s *http.Server, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	err := s.Shutdown(ctx)
@@ -68,14 +68,14 @@
 	return err
 }
 
-// Kill closes everything at once.
+// Kill closes everything without waiting for callers' requests.
 func (b *Box) Kill() {
 	b.cancel()
-	for _, s := range append([]*http.Server{b.operatorHTTP, b.entryHTTP}, b.others...) {
+	for _, s := range append([]*http.Server{b.operatorHTTP, b.entryHTTP}, b.auxiliaryHTTP...) {
 		if s == nil {
 			continue
 		}
-		_ = endHTTP(s, closeTimeout) // what it cut off was told of, or is an operator's call
+		_ = shutdownHTTP(s, closeTimeout) // aborted requests were logged by drain, or are operators' calls
 	}
 	b.peers.Close()
 	b.pool.Close()
--- a/box/stop_test.go
+++ b/box/stop_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// Streams that outlasted the stop's time were waited for a second time, and the platform
-// killed the box before it had ended.
-func TestWhatWasCutOffIsNotWaitedForAgain(t *testing.T) {
+// Guards against waiting a second time for streams that exceeded the stop timeout: the platform
+// killed the box before it had stopped.
+func TestShutdownTimeoutNotWaitedTwice(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -25,10 +25,10 @@
 	go s.Serve(l)
 	go http.Get("http://" + l.Addr().String())
 	<-began
-	g.Expect(endHTTP(s, 50*time.Millisecond)).To(MatchError(context.DeadlineExceeded))
-	g.Eventually(ended, 10*time.Second).Should(BeClosed(), "it is cut off")
+	g.Expect(shutdownHTTP(s, 50*time.Millisecond)).To(MatchError(context.DeadlineExceeded))
+	g.Eventually(ended, 10*time.Second).Should(BeClosed(), "the request is aborted")
 	const long = time.Minute
 	again := time.Now()
-	_ = endHTTP(s, long)
+	_ = shutdownHTTP(s, long)
 	g.Expect(time.Since(again)).To(BeNumerically("<", long/2))
 }
