--- a/box/quotas.go
+++ b/box/quotas.go
@@ -120,7 +120,7 @@
 		if agreed := throttle.EffectiveLimit(view.LimitOf(a.Name), view.WarmUpLimit(a.Name)); agreed.Bounded() {
 			return agreed, true
 		}
-		reported := throttle.LimitOf(dialect.LimitOf(a.PerSecond))
+		reported := throttle.LimitOf(dialect.NewLimit(a.PerSecond))
 		return reported, reported.Bounded()
 	}
 }
@@ -131,7 +131,7 @@
 	for _, a := range asks {
 		ask := &wire.QuotaAsk{Workspace: a.Name, Rank: uint32(a.Rank), Need: a.Pending, Least: a.SmallestPending, Ahead: a.Prefetch, Unused: a.Unused}
 		if q.kind.servers {
-			ask.MilliLimit = uint32(dialect.LimitOf(a.PerSecond))
+			ask.MilliLimit = uint32(dialect.NewLimit(a.PerSecond))
 		}
 		call.Asks = append(call.Asks, ask)
 	}
--- a/box/reports.go
+++ b/box/reports.go
@@ -69,5 +69,5 @@
 		})
 	}
 	wg.Wait()
-	p.entry.Changed()
+	p.entry.Refresh()
 }
--- a/gateway/learned_test.go
+++ b/gateway/unknown_models_test.go
@@ -20,9 +20,9 @@
 	"leverdrum/wire"
 )
 
-// TestNothingIsLearnedOfModelsThatCallersInvent: a request for a plain service may name any
-// model, and what a box remembers must not grow with the names.
-func TestNothingIsLearnedOfModelsThatCallersInvent(t *testing.T) {
+// Guards against unbounded memory: a request for a plain service may name any model, and what a
+// box remembers must not grow with the names.
+func TestUnknownModelsAreNotLearned(t *testing.T) {
 	g := NewWithT(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Server-Stamp", "st")
@@ -39,7 +39,7 @@
 	address := backend.Listener.Addr().(*net.TCPAddr).String()
 	view.Announcements.Set("i", &wire.Announcement{Id: "i", Service: "s", Address: address, Slots: 4})
 	gate := New(Options{
-		Dialect: dialect.Own, View: func() *state.State { return view }, Current: func() bool { return true },
+		Dialect: dialect.Native, View: func() *state.State { return view }, Current: func() bool { return true },
 		Budget: Budget{Ratio: 1, Slack: 9, Window: time.Second}, Meters: meter.New(), Log: zap.NewNop(),
 	})
 	gate.Refresh()
@@ -56,9 +56,9 @@
 	for i := range 5 {
 		send(fmt.Sprint("invented", i))
 	}
-	g.Expect(gate.lasting.model).To(BeEmpty())
-	g.Expect(gate.reading.token).To(BeEmpty())
+	g.Expect(gate.slotTimes.byModel).To(BeEmpty())
+	g.Expect(gate.prefillRates.byModel).To(BeEmpty())
 	send("m")
-	g.Expect(gate.lasting.model).To(HaveKey("m"))
-	g.Expect(gate.reading.token).To(HaveKey("m"))
+	g.Expect(gate.slotTimes.byModel).To(HaveKey("m"))
+	g.Expect(gate.prefillRates.byModel).To(HaveKey("m"))
 }
