--- a/control/decide.go
+++ b/control/decide.go
@@ -45,8 +45,8 @@
 	}
 	c.longTermRates.update(demand, time.Now())
 	for name, m := range view.Fleet.Models {
-		if _, seen := demand[name]; !seen && m.Expected > 0 && time.Since(c.leadingSince) < expectedDemandTTL {
-			demand[name] = placement.Demand{Requests: m.Expected}
+		if _, seen := demand[name]; !seen && m.ExpectedRate > 0 && time.Since(c.leadingSince) < expectedDemandTTL {
+			demand[name] = placement.Demand{Requests: m.ExpectedRate}
 		}
 	}
 	return demand
@@ -93,7 +93,7 @@
 	if result.Err != nil {
 		what, d.Reason = "not issued: "+what, result.Err.Error()
 	}
-	c.opts.Records.Note(record.Model, nameOf(d.Order.Item), what, d.Reason)
+	c.opts.Records.Add(record.Model, nameOf(d.Order.Item), what, d.Reason)
 	event.OrderIssued.Log(c.opts.Log, zap.String("order", what), zap.String("why", d.Reason), zap.Uint64("id", result.Order.GetId()))
 }
 
@@ -109,7 +109,7 @@
 	for _, s := range list {
 		next[s.Model] = s.Reason
 		if c.shortages[s.Model] == "" {
-			c.opts.Records.Note(record.Model, s.Model, "not placed", s.Reason)
+			c.opts.Records.Add(record.Model, s.Model, "not placed", s.Reason)
 		}
 	}
 	c.shortages = next
@@ -119,7 +119,7 @@
 func (c *Controller) allowLoad(f *fleet.Fleet) bool {
 	limit := rate.Limit(f.LoadsPerSecond)
 	if c.limiter == nil {
-		c.limiter = rate.NewLimiter(limit, min(f.LoadsAtOnce, storeBurst))
+		c.limiter = rate.NewLimiter(limit, min(f.MaxConcurrentLoads, storeBurst))
 	}
 	if c.limiter.Limit() != limit {
 		c.limiter.SetLimit(limit)
--- a/e2e/requests_test.go
+++ b/e2e/requests_test.go
@@ -434,7 +434,7 @@
 	case strings.HasPrefix(source, "its own report"):
 		c.engines[server].Set(standin.Faults{Leaving: true})
 	case source == "the platform's list":
-		c.platform.Replace([]platform.Machine{{Name: server, Leaving: true}})
+		c.platform.Replace([]platform.Machine{{Name: server, Draining: true}})
 	case source == "the fleet file":
 		c.fleetText = strings.Replace(c.fleetText, "[server "+server+"]\n", "[server "+server+"]\nleaving = true\n", 1)
 		c.awaitAccepted(2)
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -111,7 +111,7 @@
 	}
 	if err != nil && !rep.malformedLogged {
 		rep.malformedLogged = true
-		event.LimitMalformed.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), event.Cause(err))
+		event.LimitMalformed.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), event.ErrorField(err))
 	}
 	if limit != rep.limit {
 		event.ServerLimited.Log(t.opts.Log, zap.String("server", server), zap.Float64("limit", limit.PerSecond()), zap.Float64("before", rep.limit.PerSecond()))
@@ -172,7 +172,7 @@
 		return false
 	}
 	view := t.opts.View()
-	if len(view.Limits) > 0 || view.Fleet != nil && view.Fleet.WarmsUp {
+	if len(view.Limits) > 0 || view.Fleet != nil && view.Fleet.HasWarmUp {
 		return true
 	}
 	t.mu.Lock()
@@ -213,7 +213,7 @@
 // warmUpLimit returns the limit by rule 5, 0 for none.
 func (t *Throttle) warmUpLimit(server string) dialect.Limit {
 	view := t.opts.View()
-	if view.Fleet == nil || !view.Fleet.WarmsUp {
+	if view.Fleet == nil || !view.Fleet.HasWarmUp {
 		return 0
 	}
 	if limit := view.WarmUpLimit(server); limit != 0 {
@@ -285,11 +285,11 @@
 		return rate.Charge{}, nil
 	}
 	charge, refusal := t.opts.Limiter.Take(ctx, rate.Key{Name: server, Rank: rank}, limit, 1)
-	outcome := meter.Borne
+	outcome := meter.Permitted
 	if refusal != nil {
-		outcome = meter.NotBorne
+		outcome = meter.Denied
 	}
-	t.opts.Meters.Count(meter.Limited, outcome).Inc()
+	t.opts.Meters.Count(meter.LimitedAttempts, outcome).Inc()
 	return charge, refusal
 }
 
