--- a/dialect/report.go
+++ b/dialect/report.go
@@ -5,35 +5,39 @@
 	"time"
 )
 
-// Report is what an answer says of the server that gave it, beside the answer to its request. The zero value says
-// nothing.
+// Report is what a response reports about its server, apart from the response itself. The zero value
+// reports nothing.
 type Report struct {
-	// FromServer tells that the answer is surely the server's: only then does one without a limit say that there is none.
+	// FromServer tells that the response certainly comes from the server itself. Only then does a
+	// response without a limit mean that there is none.
 	FromServer bool
-	// HasLimit tells that the answer names a limit that can be read, LimitErr why it is not taken as it is.
+	// HasLimit tells that the response has a valid limit. LimitErr is set if a value was malformed or
+	// clamped.
 	HasLimit bool
 	Limit    Limit
 	LimitErr error
-	// Backoff is for how long the server wants no request from the box that it answered, 0 where it does not say;
-	// RestErr tells why it is not taken as it is.
+	// Backoff is how long the server wants no request from the box that received the response, 0 if it
+	// does not say. BackoffErr is set if a value was malformed or clamped.
 	Backoff    time.Duration
 	BackoffErr error
-	// Draining tells that the server is about to end. DrainTTL bounds for how long that holds; 0: for the server's life.
+	// Draining tells that the server is about to terminate. DrainTTL bounds how long that holds; 0
+	// means until the server's incarnation ends.
 	Draining    bool
 	DrainTTL    time.Duration
 	DrainingErr error
 }
 
-// FromOtherServer reports whether an answer is of another server than the one that was meant; "" where none was.
-func (d *Dialect) FromOtherServer(h http.Header, meant string) bool {
+// FromOtherServer reports whether a response comes from another server than expected; "" expects none
+// in particular.
+func (d *Dialect) FromOtherServer(h http.Header, expected string) bool {
 	id := h.Get(d.ServerID)
-	return id != "" && meant != "" && id != meant
+	return id != "" && expected != "" && id != expected
 }
 
-// headerRetryAfter tells, with a 503, for how long a server wants to rest.
+// headerRetryAfter carries the server's backoff in responses with status 503.
 const headerRetryAfter = "Retry-After"
 
-// ReadReport reads the headers of an answer by which its server speaks of itself.
+// ReadReport parses the headers in which a server reports its own state.
 func (d *Dialect) ReadReport(status int, h http.Header, now time.Time) Report {
 	r := Report{FromServer: d.Stamp != "" && h.Get(d.Stamp) != ""}
 	if values := h[d.Limit]; len(values) > 0 {
