--- a/proxy/copy.go
+++ b/proxy/copy.go
@@ -10,44 +10,44 @@
 	"leverdrum/stream"
 )
 
-// ErrTruncated: the stream ended without its last event.
+// ErrTruncated means that a stream ended without its last event.
 var ErrTruncated = Error.New("the stream ended without its last event")
 
-// ErrCallerDisconnected: the caller hung up.
+// ErrCallerDisconnected means that the caller hung up.
 var ErrCallerDisconnected = errors.New("the caller hung up")
 
 const copyBuffer = 16 << 10
 
-// CopyOptions is how the rest of an answer is passed on.
+// CopyOptions configures how the unread part of a response is copied.
 type CopyOptions struct {
-	// Relay is what a stream goes through, nil for what is no stream.
+	// Relay processes the events of a stream; nil if the response is not a stream.
 	Relay *stream.Relay
-	// OnFirstEvent is called when the first event was passed on.
+	// OnFirstEvent is called after the first event was forwarded.
 	OnFirstEvent func()
-	// StallAfter is how long a stream may be silent before Stalled is asked
-	// whether to break it off; 0: for ever.
+	// StallAfter is how long a stream may send nothing before AbortStalled is asked whether to close
+	// it; 0 means no limit.
 	StallAfter   time.Duration
 	AbortStalled func() bool
 }
 
-// CopyBody passes the rest of an answer on as it comes. The answer was whole only
-// if no error comes back (3).
-func CopyBody(w http.ResponseWriter, answer *Response, how CopyOptions) error {
-	defer answer.BodyReader.Close()
-	c := copier{w: w, flusher: http.NewResponseController(w), how: how}
-	watch := newWatch(answer.BodyReader, how)
-	defer watch.stop()
+// CopyBody copies the unread part of a response to the caller as it arrives. The response was complete
+// only if the returned error is nil (3).
+func CopyBody(w http.ResponseWriter, response *Response, opts CopyOptions) error {
+	defer response.BodyReader.Close()
+	c := copier{w: w, flusher: http.NewResponseController(w), opts: opts}
+	stall := newStallTimer(response.BodyReader, opts)
+	defer stall.stop()
 	buf := make([]byte, copyBuffer)
 	for {
-		n, err := answer.BodyReader.Read(buf)
-		watch.heard()
+		n, err := response.BodyReader.Read(buf)
+		stall.reset()
 		if n > 0 {
-			if perr := c.pass(buf[:n]); perr != nil {
+			if perr := c.forward(buf[:n]); perr != nil {
 				return perr
 			}
 		}
 		if err != nil {
-			return c.end(err)
+			return c.finish(err)
 		}
 	}
 }
@@ -55,25 +55,25 @@
 type copier struct {
 	w       http.ResponseWriter
 	flusher *http.ResponseController
-	how     CopyOptions
+	opts    CopyOptions
 	out     []byte
 }
 
-func (c *copier) pass(b []byte) error {
-	relay := c.how.Relay
+func (c *copier) forward(b []byte) error {
+	relay := c.opts.Relay
 	if relay == nil {
 		return c.write(b)
 	}
 	before := relay.Forwarded()
-	var broken error
-	c.out, broken = relay.Feed(c.out[:0], b)
+	var relayErr error
+	c.out, relayErr = relay.Feed(c.out[:0], b)
 	if err := c.write(c.out); err != nil {
 		return err
 	}
-	if before == 0 && relay.Forwarded() > 0 && c.how.OnFirstEvent != nil {
-		c.how.OnFirstEvent()
+	if before == 0 && relay.Forwarded() > 0 && c.opts.OnFirstEvent != nil {
+		c.opts.OnFirstEvent()
 	}
-	return Error.Wrap(broken)
+	return Error.Wrap(relayErr)
 }
 
 func (c *copier) write(b []byte) error {
@@ -83,66 +83,66 @@
 	if _, err := c.w.Write(b); err != nil {
 		return Error.Wrap(errors.Join(ErrCallerDisconnected, err))
 	}
-	if c.how.Relay != nil {
-		_ = c.flusher.Flush() // a caller that has gone is met at the next write
+	if c.opts.Relay != nil {
+		_ = c.flusher.Flush() // a caller that hung up is detected at the next write
 	}
 	return nil
 }
 
-// end says whether the answer was whole when its body ended with err.
-func (c *copier) end(err error) error {
+// finish reports whether the response was complete when its body ended with err.
+func (c *copier) finish(err error) error {
 	switch {
-	case c.how.Relay != nil && c.how.Relay.Done():
+	case c.opts.Relay != nil && c.opts.Relay.Done():
 		return nil
 	case !errors.Is(err, io.EOF):
 		return Error.Wrap(err)
-	case c.how.Relay != nil && !c.how.Relay.Complete():
+	case c.opts.Relay != nil && !c.opts.Relay.Complete():
 		return ErrTruncated
 	}
 	return nil
 }
 
-// watch breaks a silent stream off.
-type watch struct {
+// stallTimer closes a stream that sends nothing.
+type stallTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer // nil once stopped
 	after time.Duration
 }
 
-func newWatch(rest io.Closer, how CopyOptions) *watch {
-	w := &watch{after: how.StallAfter}
-	if w.after == 0 {
-		return w
+func newStallTimer(body io.Closer, opts CopyOptions) *stallTimer {
+	s := &stallTimer{after: opts.StallAfter}
+	if s.after == 0 {
+		return s
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.after, func() {
-		if how.AbortStalled() {
-			rest.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.timer = time.AfterFunc(s.after, func() {
+		if opts.AbortStalled() {
+			body.Close()
 			return
 		}
-		w.heard()
+		s.reset()
 	})
-	return w
+	return s
 }
 
-// heard begins the wait anew.
-func (w *watch) heard() {
-	if w.after == 0 {
+// reset restarts the timer.
+func (s *stallTimer) reset() {
+	if s.after == 0 {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer != nil {
-		w.timer.Reset(w.after)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.timer != nil {
+		s.timer.Reset(s.after)
 	}
 }
 
-func (w *watch) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer != nil {
-		w.timer.Stop()
-		w.timer = nil
+func (s *stallTimer) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.timer != nil {
+		s.timer.Stop()
+		s.timer = nil
 	}
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,19 +1,17 @@
-// Package proxy sends one request to one backend server and says what became
-// of it.
+// Package proxy sends one request to one backend server and reports the outcome.
 //
 // Rules:
 //
-//  1. An attempt is sent at most once. The transport is kept from sending it
-//     again: a request has a body that it cannot rewind, or, where an empty one
-//     must be sent as such, no header by which it knows repeatable calls.
-//  2. Not run is claimed only when no connection was had, so that no byte can
-//     have left, or when the backend server itself says so.
-//  3. An answer counts as whole when its length or its last chunk came, and a
-//     stream only with its last event besides.
-//  4. An answer that names another attempt is not this one's and is dropped
-//     with its connection.
-//  5. Calls that may not be repeated go on new connections, because one that
-//     was kept may be dead already, and then the outcome would be unknown.
+//  1. An attempt is sent at most once. The transport is prevented from retrying it:
+//     a request has a body that cannot be rewound or, if an empty body must be sent
+//     as such, no header that marks idempotent requests for the transport.
+//  2. An attempt is reported as not run only if it had no connection, so that no
+//     byte can have been sent, or if the backend server says so.
+//  3. A response is complete when its full length or its final chunk arrived; a
+//     stream also needs its last event.
+//  4. A response that names another attempt is dropped with its connection.
+//  5. Calls that may not be repeated use new connections: a reused connection may
+//     already be dead, and then the outcome would be unknown.
 package proxy
 
 import (
@@ -40,10 +38,10 @@
 const (
 	dialTimeout = time.Second
 	idleTimeout = 30 * time.Second
-	// idlePerHost is how many idle connections are kept to a backend server.
+	// idlePerHost is the maximum number of idle connections to a backend server.
 	idlePerHost = 256
-	// bufferLimit is the size in bytes up to which an answer is read whole
-	// before it is passed on.
+	// bufferLimit is the size in bytes up to which a response is read completely before it is
+	// forwarded.
 	bufferLimit = 1 << 20
 )
 
@@ -52,70 +50,71 @@
 	ID      string
 	Method  string
 	Address string
-	// Path holds the query too.
+	// Path includes the query.
 	Path   string
 	Header http.Header
 	Body   []byte
 	// NonRepeatable marks a call that may not be repeated (5).
 	NonRepeatable bool
-	// Sendable is asked before the attempt is sent, once there is a connection; nil: it may be sent.
+	// Sendable is called once a new connection is open and reports whether the attempt may still be
+	// sent; nil means yes.
 	Sendable func() bool
 }
 
-// Response is what came back. Either Body is the whole body, or Rest still has to
-// be read and closed.
+// Response is the response to an attempt. Either Body is the complete body, or BodyReader is not nil
+// and must be read and closed.
 type Response struct {
 	Status     int
 	Header     http.Header
 	Body       []byte
 	BodyReader io.ReadCloser
-	// Stream tells that Rest is a stream of events.
+	// Stream tells that BodyReader is an event stream.
 	Stream bool
-	// Version is the version of the weights, "" when the backend does not say.
+	// Version is the version of the weights, "" if the backend does not report it.
 	Version string
 }
 
-// Failure says why there is no answer.
+// Failure describes why there is no response.
 type Failure struct {
 	Outcome reason.Outcome
 	Reason  *reason.Reason
 	Cause   error
-	// Header and Status are those of an answer that is not the request's own, as of a backend that did not run it; nil and
-	// 0 for other failures.
+	// Header and Status are those of a response that is not the request's own, such as that of a
+	// backend that did not run it. They are nil and 0 for other failures.
 	Header http.Header
 	Status int
 }
 
-// Error returns the cause.
+// Error returns the reason code and the cause.
 func (f *Failure) Error() string { return f.Reason.Code + ": " + f.Cause.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Sender sends attempts.
+// Sender sends attempts to backend servers.
 type Sender struct {
-	kept  *http.Transport
-	fresh *http.Transport
+	reused    *http.Transport
+	singleUse *http.Transport
 }
 
-// NewSender returns a sender with its own connections.
+// NewSender returns a Sender with its own connection pool.
 func NewSender() *Sender {
 	base := http.Transport{
 		DialContext: dial, DisableCompression: true,
 		MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: idleTimeout, ForceAttemptHTTP2: false,
 	}
-	fresh := base.Clone()
-	fresh.DisableKeepAlives = true
-	return &Sender{kept: base.Clone(), fresh: fresh}
+	singleUse := base.Clone()
+	singleUse.DisableKeepAlives = true
+	return &Sender{reused: base.Clone(), singleUse: singleUse}
 }
 
-// errNotSendable: the backend server asked for rest while a connection was being opened.
-var errNotSendable = Error.New("the backend server rests")
+// errInBackoff means that the backend server asked for a backoff while a connection was being opened.
+var errInBackoff = Error.New("the backend server asked for a backoff")
 
-// sendableKey names Attempt.Sendable in a request's context.
+// sendableKey is the context key of Attempt.Sendable.
 type sendableKey struct{}
 
-// dial opens a connection, unless its request must not be sent any more by then.
+// dial opens a connection. It fails if the request must no longer be sent once the connection is open.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	c, err := dialer.DialContext(ctx, network, address)
@@ -124,52 +123,51 @@
 	}
 	if sendable, ok := ctx.Value(sendableKey{}).(func() bool); ok && !sendable() {
 		c.Close()
-		return nil, errNotSendable
+		return nil, errInBackoff
 	}
 	return c, nil
 }
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// CopyEndToEndHeaders copies the headers that are for the other end.
+// CopyEndToEndHeaders copies all headers except hop-by-hop headers and those listed in Connection.
 func CopyEndToEndHeaders(to, from http.Header) {
-	named := strings.Split(strings.Join(from.Values("Connection"), ","), ",")
+	connectionHeaders := strings.Split(strings.Join(from.Values("Connection"), ","), ",")
 	for k, v := range from {
 		to[k] = v
 	}
-	for _, k := range hopHeaders {
+	for _, k := range hopByHopHeaders {
 		to.Del(k)
 	}
-	for _, k := range named {
+	for _, k := range connectionHeaders {
 		to.Del(strings.TrimSpace(k))
 	}
 }
 
-// onceBody is a body that the transport cannot rewind (1).
-type onceBody struct{ *bytes.Reader }
+// unrewindableBody is a body that the transport cannot rewind (1).
+type unrewindableBody struct{ *bytes.Reader }
 
-// Close does nothing.
-func (onceBody) Close() error { return nil }
+// Close does nothing: the body holds no resources.
+func (unrewindableBody) Close() error { return nil }
 
-// keyHeaders make net/http's transport take a request for repeatable when they
-// stand under their usual spelling.
-var keyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
+// idempotencyHeaders make net/http's transport treat a request as idempotent if they have their
+// canonical spelling.
+var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// bodyOf returns the body of a request (1). Methods that commonly have none get
-// one that turns out empty. For others it would go out in chunks, so they get
-// none, and the key headers go out under another spelling, which is the same in
-// HTTP.
-func bodyOf(req *http.Request, a *Attempt) {
+// setBody sets the body of a request (1). Methods that usually have no body get an empty one that
+// cannot be rewound. For other methods such a body would be sent in chunks. They get no body, and the
+// idempotency headers are sent in lower case, which is equivalent in HTTP.
+func setBody(req *http.Request, a *Attempt) {
 	switch {
 	case len(a.Body) > 0:
-		req.Body, req.ContentLength = onceBody{bytes.NewReader(a.Body)}, int64(len(a.Body))
+		req.Body, req.ContentLength = unrewindableBody{bytes.NewReader(a.Body)}, int64(len(a.Body))
 	case a.Method == http.MethodGet, a.Method == http.MethodHead, a.Method == http.MethodOptions, a.Method == http.MethodTrace:
-		req.Body = onceBody{bytes.NewReader(nil)}
+		req.Body = unrewindableBody{bytes.NewReader(nil)}
 	default:
-		for _, k := range keyHeaders {
+		for _, k := range idempotencyHeaders {
 			if v, ok := req.Header[k]; ok {
 				delete(req.Header, k)
 				req.Header[strings.ToLower(k)] = v
@@ -178,8 +176,8 @@
 	}
 }
 
-// Send sends the attempt and waits for the answer, or its beginning if it is a
-// stream or large. The context bounds the reading of Rest too.
+// Send sends the attempt and waits for the complete response, or for its headers if it is a stream or
+// large. The context also bounds the reading of BodyReader.
 func (s *Sender) Send(ctx context.Context, a *Attempt) (*Response, *Failure) {
 	var connected atomic.Bool
 	if a.Sendable != nil {
@@ -191,11 +189,11 @@
 		return nil, &Failure{Outcome: reason.NotRun, Reason: reason.BadRequest, Cause: Error.Wrap(err)}
 	}
 	CopyEndToEndHeaders(req.Header, a.Header)
-	bodyOf(req, a)
+	setBody(req, a)
 	req.Header.Set(engine.HeaderID, a.ID)
-	transport := s.kept
+	transport := s.reused
 	if a.NonRepeatable {
-		transport = s.fresh // (5)
+		transport = s.singleUse // (5)
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -204,10 +202,11 @@
 	return s.receive(a, resp)
 }
 
-// classify is rule 2.
+// classify returns the failure for a transport error. It is not run only if there was no connection
+// (2).
 func classify(err error, connected bool) *Failure {
 	switch {
-	case errors.Is(err, errNotSendable):
+	case errors.Is(err, errInBackoff):
 		return &Failure{Outcome: reason.NotRun, Reason: reason.ServersResting, Cause: Error.Wrap(err)}
 	case !connected:
 		return &Failure{Outcome: reason.NotRun, Reason: reason.NotReached, Cause: Error.Wrap(err)}
@@ -220,26 +219,26 @@
 func (s *Sender) receive(a *Attempt, resp *http.Response) (*Response, *Failure) {
 	if id := resp.Header.Get(engine.HeaderID); id != "" && id != a.ID { // (4)
 		resp.Body.Close()
-		return nil, &Failure{Outcome: reason.Unknown, Reason: reason.BackendBroke, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the answer is of attempt %q", id)}
+		return nil, &Failure{Outcome: reason.Unknown, Reason: reason.BackendBroke, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the response belongs to attempt %q", id)}
 	}
 	if resp.Header.Get(engine.HeaderRan) == "true" {
 		resp.Body.Close()
-		return nil, &Failure{Outcome: reason.NotRun, Reason: reason.BackendRefused, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the backend server answered %d, not run", resp.StatusCode)}
+		return nil, &Failure{Outcome: reason.NotRun, Reason: reason.BackendRefused, Header: resp.Header, Status: resp.StatusCode, Cause: Error.New("the backend server responded with status %d and did not run the request", resp.StatusCode)}
 	}
-	answer := &Response{Status: resp.StatusCode, Header: http.Header{}, Version: resp.Header.Get(engine.HeaderVersion)}
-	CopyEndToEndHeaders(answer.Header, resp.Header)
+	response := &Response{Status: resp.StatusCode, Header: http.Header{}, Version: resp.Header.Get(engine.HeaderVersion)}
+	CopyEndToEndHeaders(response.Header, resp.Header)
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		answer.BodyReader, answer.Stream = resp.Body, true
-		return answer, nil
+		response.BodyReader, response.Stream = resp.Body, true
+		return response, nil
 	}
-	return s.buffer(resp, answer)
+	return s.buffer(resp, response)
 }
 
-// buffer reads an answer whole if it is small (3).
-func (s *Sender) buffer(resp *http.Response, answer *Response) (*Response, *Failure) {
+// buffer reads a response completely if it is small (3).
+func (s *Sender) buffer(resp *http.Response, response *Response) (*Response, *Failure) {
 	if resp.ContentLength > bufferLimit {
-		answer.BodyReader = resp.Body
-		return answer, nil
+		response.BodyReader = resp.Body
+		return response, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bufferLimit+1))
 	if err != nil {
@@ -247,15 +246,15 @@
 		return nil, classify(err, true)
 	}
 	if len(body) > bufferLimit {
-		answer.BodyReader = joined{io.MultiReader(bytes.NewReader(body), resp.Body), resp.Body}
-		return answer, nil
+		response.BodyReader = readCloser{io.MultiReader(bytes.NewReader(body), resp.Body), resp.Body}
+		return response, nil
 	}
 	resp.Body.Close()
-	answer.Body = body
-	return answer, nil
+	response.Body = body
+	return response, nil
 }
 
-type joined struct {
+type readCloser struct {
 	io.Reader
 	io.Closer
 }
