--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,20 +1,20 @@
-// Package stream relays server-sent events so that a stream that broke off can
-// be continued at another backend server with nothing twice and nothing missing.
+// Package stream relays server-sent events, so that a stream that broke off can be resumed at another
+// backend server without duplicate or missing events.
 //
 // Rules:
 //
-//  1. An event is passed on whole or not at all: the part of one that broke off
-//     is dropped.
-//  2. The position is the id of the newest event that was passed on. Ids rise by
-//     one from 1.
-//  3. A continuation begins behind the position: an event at or before it is
-//     dropped, and one that leaves a gap ends the stream as broken.
-//  4. Only a stream whose events all had ids can be continued. The last event
-//     needs none.
-//  5. Nothing behind the last event is passed on.
+//  1. An event is forwarded completely or not at all: a partial event at a break is
+//     dropped.
+//  2. The position is the id of the newest forwarded event. Ids start at 1 and
+//     increase by one.
+//  3. A continuation starts after the position: an event at or before it is dropped,
+//     and one that leaves a gap ends the stream as broken.
+//  4. Only a stream whose events all have ids can be resumed. The last event needs
+//     none.
+//  5. Nothing after the last event is forwarded.
 //
-// The format is that of "Server-sent events" in the HTML standard, as far as
-// needed: events end with an empty line, and an id is a line "id: NUMBER".
+// The format is that of "Server-sent events" in the HTML standard, as far as needed: events end with
+// an empty line, and an id is a line "id: NUMBER".
 package stream
 
 import (
@@ -28,62 +28,62 @@
 var Error = errs.Class("stream")
 
 var (
-	// ErrGap: an event is missing (3).
+	// ErrGap means that an event is missing (3).
 	ErrGap = Error.New("events are missing from the stream")
-	// ErrTooLarge: an event exceeds the limit.
+	// ErrTooLarge means that an event exceeds maxEventSize.
 	ErrTooLarge = Error.New("an event of the stream exceeds 1 MiB")
 )
 
-// maxEvent bounds an event, in bytes.
-const maxEvent = 1 << 20
+// maxEventSize is the maximum size of an event in bytes.
+const maxEventSize = 1 << 20
 
-// Relay is one stream on its way to a caller, over all its continuations.
+// Relay forwards one stream to a caller across all its continuations.
 type Relay struct {
-	last     []byte // line of the last event; nil when the end of the body is the end
-	partial  []byte
-	position uint64
-	passed   int
-	noIDs    bool // some event had no id (4)
-	resumed  bool
-	done     bool
+	terminator   []byte // line of the last event; nil if the stream ends with its body
+	partial      []byte
+	position     uint64
+	forwarded    int
+	notResumable bool // some event had no usable id (4)
+	resumed      bool
+	done         bool
 }
 
-// New returns a relay of a stream whose last event is the line last, "" when
-// the stream has no such event and is whole when its body is.
+// New returns a Relay for a stream whose last event is the line last. If last is "", the stream has no
+// such event and is complete when its body ends.
 func New(last string) *Relay {
 	r := &Relay{}
 	if last != "" {
-		r.last = []byte(last)
+		r.terminator = []byte(last)
 	}
 	return r
 }
 
-// Position returns the id behind which the stream can go on, and whether it can.
+// Position returns the id after which the stream can be resumed, and whether it can be.
 func (r *Relay) Position() (id uint64, ok bool) {
-	return r.position, !r.noIDs && r.last != nil && !r.done
+	return r.position, !r.notResumable && r.terminator != nil && !r.done
 }
 
-// Forwarded returns how many events were passed on.
-func (r *Relay) Forwarded() int { return r.passed }
+// Forwarded returns the number of events forwarded.
+func (r *Relay) Forwarded() int { return r.forwarded }
 
-// Done reports whether the last event was passed on.
+// Done reports whether the last event was forwarded.
 func (r *Relay) Done() bool { return r.done }
 
-// Complete reports whether a body that ended here ended with the whole stream.
+// Complete reports whether the stream is complete if its body ends now.
 func (r *Relay) Complete() bool {
-	if r.last == nil {
+	if r.terminator == nil {
 		return len(bytes.TrimSpace(r.partial)) == 0
 	}
 	return r.done
 }
 
-// Continue begins a continuation (1).
+// Continue starts a continuation; a partial event is dropped (1).
 func (r *Relay) Continue() {
 	r.partial = nil
 	r.resumed = true
 }
 
-// Feed takes bytes of the stream and appends what is to be passed on to out.
+// Feed processes bytes of the stream and appends what is to be forwarded to out.
 func (r *Relay) Feed(out, b []byte) ([]byte, error) {
 	data := b
 	if len(r.partial) > 0 {
@@ -94,32 +94,32 @@
 		if n == 0 {
 			break
 		}
-		pass, err := r.take(data[:n])
+		forward, err := r.accept(data[:n])
 		if err != nil {
 			return out, err
 		}
-		if pass {
+		if forward {
 			out = append(out, data[:n]...)
-			r.passed++
+			r.forwarded++
 		}
 		data = data[n:]
 	}
-	if len(data) > maxEvent {
+	if len(data) > maxEventSize {
 		return out, ErrTooLarge
 	}
 	r.partial = append(r.partial[:0:0], data...)
 	return out, nil
 }
 
-// take reports whether an event is to be passed on.
-func (r *Relay) take(event []byte) (bool, error) {
-	id, isLast := r.read(event)
+// accept reports whether an event is to be forwarded.
+func (r *Relay) accept(event []byte) (bool, error) {
+	id, isLast := r.parseEvent(event)
 	switch {
 	case isLast:
 		r.done = true
 		return true, nil
 	case id == 0:
-		r.noIDs = true // (4)
+		r.notResumable = true // (4)
 		if r.resumed {
 			return false, ErrGap
 		}
@@ -129,17 +129,17 @@
 	case id != r.position+1 && r.resumed:
 		return false, ErrGap
 	case id != r.position+1:
-		r.noIDs = true // ids of another meaning
+		r.notResumable = true // the ids have another meaning
 	}
 	r.position = id
 	return true, nil
 }
 
-// read returns an event's id, 0 without one, and whether it is the last.
-func (r *Relay) read(event []byte) (id uint64, isLast bool) {
+// parseEvent returns an event's id, 0 if it has none, and whether it is the last event.
+func (r *Relay) parseEvent(event []byte) (id uint64, isLast bool) {
 	for line := range bytes.Lines(event) {
 		line = bytes.TrimRight(line, "\r\n")
-		if r.last != nil && bytes.Equal(line, r.last) {
+		if r.terminator != nil && bytes.Equal(line, r.terminator) {
 			return 0, true
 		}
 		if text, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -149,8 +149,8 @@
 	return id, false
 }
 
-// eventLength returns the length of the first event of data with its empty
-// line, 0 when it is not whole.
+// eventLength returns the length of the first event in data including its empty line, or 0 if the
+// event is incomplete.
 func eventLength(data []byte) int {
 	for at := 0; at < len(data); {
 		n := bytes.IndexByte(data[at:], '\n')
