--- a/entry/access.go
+++ b/entry/access.go
@@ -9,12 +9,13 @@
 	"leverdrum/workspace"
 )
 
-// bearer begins the value of an Authorization header that carries a key.
+// bearer is the prefix of an Authorization header value that carries a key.
 const bearer = "Bearer "
 
-// keysOf returns the keys that a request shows. Clients of chat send theirs as bearer tokens, too;
-// with a plain service that header is between the caller and the service.
-func keysOf(r *http.Request) []string {
+// presentedKeys returns the API keys that a request presents. Chat clients may also send theirs as
+// bearer tokens. For a plain service, the Authorization header belongs to the caller and the service
+// and is not read.
+func presentedKeys(r *http.Request) []string {
 	keys := r.Header.Values(dialect.Native.Key)
 	if r.URL.Path != engine.ChatPath {
 		return keys
@@ -27,9 +28,9 @@
 	return keys
 }
 
-// nameOwner takes the keys off a request, which no backend server is to see, and names the workspace in their
-// place. A caller's own word of whose it is goes, too.
-func nameOwner(r *http.Request, owner *workspace.Workspace) {
+// setWorkspaceHeader removes the API keys from a request, because no backend server may see them, and
+// sends the workspace's name instead. A workspace header set by the caller is removed too.
+func setWorkspaceHeader(r *http.Request, owner *workspace.Workspace) {
 	r.Header.Del(dialect.Native.Workspace)
 	if owner == nil {
 		return
@@ -41,7 +42,7 @@
 	r.Header.Set(dialect.Native.Workspace, owner.Name)
 }
 
-// urgencyOf returns the urgency of a workspace's requests, 0 the highest.
+// urgencyOf returns the urgency of a workspace's requests; 0 is the most urgent.
 func urgencyOf(owner *workspace.Workspace) int {
 	if owner == nil {
 		return 0
--- a/entry/access_test.go
+++ b/entry/access_test.go
@@ -13,62 +13,63 @@
 	"leverdrum/workspace"
 )
 
-func called(path string, headers http.Header) *http.Request {
+func newRequest(path string, headers http.Header) *http.Request {
 	r := httptest.NewRequest(http.MethodPost, path, nil)
 	r.Header = headers
 	return r
 }
 
-func TestWhichKeysARequestShows(t *testing.T) {
+func TestPresentedKeys(t *testing.T) {
 	g := NewWithT(t)
 	for name, c := range map[string]struct {
 		path    string
 		headers http.Header
 		want    []string
 	}{
-		"none":                                {engine.ChatPath, http.Header{}, nil},
-		"its own header":                      {engine.ChatPath, http.Header{"X-Api-Key": {"k"}}, []string{"k"}},
-		"chat's bearer token":                 {engine.ChatPath, http.Header{"Authorization": {"Bearer k"}}, []string{"k"}},
-		"both are two":                        {engine.ChatPath, http.Header{"X-Api-Key": {"k"}, "Authorization": {"Bearer k"}}, []string{"k", "k"}},
-		"another scheme":                      {engine.ChatPath, http.Header{"Authorization": {"Basic k"}}, nil},
-		"a service's bearer token is its own": {"/services/shop/x", http.Header{"Authorization": {"Bearer k"}}, nil},
+		"none":                                  {engine.ChatPath, http.Header{}, nil},
+		"the key header":                        {engine.ChatPath, http.Header{"X-Api-Key": {"k"}}, []string{"k"}},
+		"chat's bearer token":                   {engine.ChatPath, http.Header{"Authorization": {"Bearer k"}}, []string{"k"}},
+		"both headers":                          {engine.ChatPath, http.Header{"X-Api-Key": {"k"}, "Authorization": {"Bearer k"}}, []string{"k", "k"}},
+		"another scheme":                        {engine.ChatPath, http.Header{"Authorization": {"Basic k"}}, nil},
+		"a service's bearer token is not a key": {"/services/shop/x", http.Header{"Authorization": {"Bearer k"}}, nil},
 	} {
-		g.Expect(keysOf(called(c.path, c.headers))).To(Equal(c.want), name)
+		g.Expect(presentedKeys(newRequest(c.path, c.headers))).To(Equal(c.want), name)
 	}
 }
 
-func TestABackendServerIsToldTheWorkspaceOnly(t *testing.T) {
+func TestWorkspaceHeaderReplacesKeys(t *testing.T) {
 	g := NewWithT(t)
 	owner := &workspace.Workspace{Name: "atelier"}
-	chat := called(engine.ChatPath, http.Header{"Authorization": {"Bearer k"}, "X-Api-Key": {"k"}, "X-Workspace": {"library"}})
-	nameOwner(chat, owner)
+	chat := newRequest(engine.ChatPath, http.Header{"Authorization": {"Bearer k"}, "X-Api-Key": {"k"}, "X-Workspace": {"library"}})
+	setWorkspaceHeader(chat, owner)
 	g.Expect(chat.Header).To(Equal(http.Header{"X-Workspace": {"atelier"}}))
-	service := called("/services/shop/x", http.Header{"Authorization": {"Bearer s"}, "X-Api-Key": {"k"}})
-	nameOwner(service, owner)
+	service := newRequest("/services/shop/x", http.Header{"Authorization": {"Bearer s"}, "X-Api-Key": {"k"}})
+	setWorkspaceHeader(service, owner)
 	g.Expect(service.Header).To(Equal(http.Header{"Authorization": {"Bearer s"}, "X-Workspace": {"atelier"}}))
-	free := called("/services/shop/x", http.Header{"X-Api-Key": {"k"}, "X-Workspace": {"library"}})
-	nameOwner(free, nil)
-	g.Expect(free.Header).To(Equal(http.Header{"X-Api-Key": {"k"}}), "without workspaces the key is the caller's own affair")
+	free := newRequest("/services/shop/x", http.Header{"X-Api-Key": {"k"}, "X-Workspace": {"library"}})
+	setWorkspaceHeader(free, nil)
+	g.Expect(free.Header).To(Equal(http.Header{"X-Api-Key": {"k"}}), "without workspaces the key header is not removed")
 }
 
-func TestACallUnderAKeyIsKeptApartByWorkspace(t *testing.T) {
+func TestClaimNamesIncludeWorkspace(t *testing.T) {
 	g := NewWithT(t)
-	// The claim's name holds the workspace, so that one's key never replays another's answer.
-	g.Expect(keyName("shop", &workspace.Workspace{Name: "atelier"}, "k")).NotTo(Equal(keyName("shop", &workspace.Workspace{Name: "library"}, "k")))
-	g.Expect(keyName("shop", nil, "k")).To(Equal("shop\nk"))
+	// The claim's name contains the workspace, so a key of one workspace never replays the answer of
+	// another.
+	g.Expect(claimName("shop", &workspace.Workspace{Name: "atelier"}, "k")).NotTo(Equal(claimName("shop", &workspace.Workspace{Name: "library"}, "k")))
+	g.Expect(claimName("shop", nil, "k")).To(Equal("shop\nk"))
 }
 
-func TestWhatAChatRequestWeighs(t *testing.T) {
+func TestChatRequestUsage(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(usageOf(called("/", http.Header{"X-Prompt-Tokens": {"100"}}), 50)).To(Equal(workspace.Usage{Tokens: 150, Known: true}))
-	g.Expect(usageOf(called("/", http.Header{}), 50)).To(Equal(workspace.Usage{Tokens: 50, Known: true}))
-	g.Expect(usageOf(called("/", http.Header{"X-Max-Tokens": {"7"}}), 50)).To(Equal(workspace.Usage{Tokens: 7, Known: true}))
-	g.Expect(usageOf(called("/", http.Header{}), 0)).To(Equal(workspace.Usage{}))
+	g.Expect(usageOf(newRequest("/", http.Header{"X-Prompt-Tokens": {"100"}}), 50)).To(Equal(workspace.Usage{Tokens: 150, Known: true}))
+	g.Expect(usageOf(newRequest("/", http.Header{}), 50)).To(Equal(workspace.Usage{Tokens: 50, Known: true}))
+	g.Expect(usageOf(newRequest("/", http.Header{"X-Max-Tokens": {"7"}}), 50)).To(Equal(workspace.Usage{Tokens: 7, Known: true}))
+	g.Expect(usageOf(newRequest("/", http.Header{}), 0)).To(Equal(workspace.Usage{}))
 }
 
-func TestWhatCallersAreToldOfAQuota(t *testing.T) {
+func TestQuotaRefusalReasons(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true}).why).To(Equal(reason.OverQuota))
-	g.Expect(refusedByQuota(&rate.Refusal{Exhausted: true, TooLarge: true}).why).To(Equal(reason.BeyondQuota))
-	g.Expect(refusedByQuota(&rate.Refusal{}).why).To(Equal(reason.QuotaUnsure))
+	g.Expect(newQuotaRefusal(&rate.Refusal{Exhausted: true}).why).To(Equal(reason.OverQuota))
+	g.Expect(newQuotaRefusal(&rate.Refusal{Exhausted: true, TooLarge: true}).why).To(Equal(reason.BeyondQuota))
+	g.Expect(newQuotaRefusal(&rate.Refusal{}).why).To(Equal(reason.QuotaUnsure))
 }
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -12,86 +12,87 @@
 	"leverdrum/standin"
 )
 
-// mostInRests is the most calls that came between half a second after a call that was turned away and the end of the rest;
-// all that came until a time were turned away.
-func mostInRests(came []time.Time, until time.Time, rest time.Duration) (most int) {
-	for i, asked := range came {
+// maxDuringBackoff returns the maximum number of calls that arrived after a rejected call, between 500
+// ms later and the end of its backoff. All calls that arrived before until were rejected.
+func maxDuringBackoff(arrivals []time.Time, until time.Time, backoff time.Duration) (maxCalls int) {
+	for i, rejectedAt := range arrivals {
 		n := 0
-		for _, at := range came[i+1:] {
-			if since := at.Sub(asked); since > 500*time.Millisecond && since < rest {
+		for _, at := range arrivals[i+1:] {
+			if since := at.Sub(rejectedAt); since > 500*time.Millisecond && since < backoff {
 				n++
 			}
 		}
-		if asked.Before(until) {
-			most = max(most, n)
+		if rejectedAt.Before(until) {
+			maxCalls = max(maxCalls, n)
 		}
 	}
-	return most
+	return maxCalls
 }
 
-// The product's own interface heeds a rest: calls go to the other instance, and come back when it is over. A rest is not held
-// against the instance.
-func TestAnInstanceThatAsksForRestGetsIt(t *testing.T) {
+// Guards Retry-After on the entry interface: calls must go to the other instance and return when the
+// backoff ends. A backoff must not count as a failure of the instance.
+func TestRetryAfterIsHonored(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 2)
-	const rest = 1500 * time.Millisecond
+	const backoff = 1500 * time.Millisecond
 	l.instances[0].Set(standin.Faults{Rest: "1.5"})
-	_, refused := l.ask(t, 40, 4*time.Second)
+	_, refused := l.sendCalls(t, 40, 4*time.Second)
 	l.instances[0].Set(standin.Faults{})
 	until := time.Now()
-	g.Expect(refused).To(BeEmpty(), "the other instance has room")
-	turned := len(l.instances[0].Came())
-	l.ask(t, 40, rest+2*time.Second)
-	came := l.instances[0].Came()
-	t.Logf("%d calls turned away, %d taken afterwards", turned, len(came)-turned)
-	g.Expect(mostInRests(came, until, rest)).To(BeNumerically("<=", 2))
-	g.Expect(len(came)-turned).To(BeNumerically(">", 20), "it takes its half again")
+	g.Expect(refused).To(BeEmpty(), "the other instance has capacity")
+	rejected := len(l.instances[0].Came())
+	l.sendCalls(t, 40, backoff+2*time.Second)
+	arrivals := l.instances[0].Came()
+	t.Logf("%d calls rejected, %d accepted afterwards", rejected, len(arrivals)-rejected)
+	g.Expect(maxDuringBackoff(arrivals, until, backoff)).To(BeNumerically("<=", 2))
+	g.Expect(len(arrivals)-rejected).To(BeNumerically(">", 20), "the instance gets half of the calls again")
 }
 
-func TestCallsOfAnInstanceThatRestsAreRefusedAtOnce(t *testing.T) {
+func TestCallsDuringBackoffAreRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 1)
 	l.instances[0].Set(standin.Faults{Rest: "2"})
-	_, refused := l.ask(t, 30, 5*time.Second)
+	_, refused := l.sendCalls(t, 30, 5*time.Second)
 	until := time.Now()
-	g.Expect(mostInRests(l.instances[0].Came(), until, 2*time.Second)).To(BeNumerically("<=", 2))
+	g.Expect(maxDuringBackoff(l.instances[0].Came(), until, 2*time.Second)).To(BeNumerically("<=", 2))
 	g.Expect(len(refused)).To(BeNumerically(">", 100))
-	resting := 0
+	inBackoff := 0
 	for _, r := range refused {
 		g.Expect(r.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(r.Header.Get(entry.HeaderOutcome)).To(Equal("not-run"))
 		if r.Header.Get(entry.HeaderReason) == "servers-resting" {
-			resting++
+			inBackoff++
 		}
 		after, err := strconv.Atoi(r.Header.Get("Retry-After"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(after).To(BeNumerically("<=", 4))
 	}
-	g.Expect(resting).To(BeNumerically(">", 100))
+	g.Expect(inBackoff).To(BeNumerically(">", 100))
 }
 
-func TestAnInstanceThatSaysThatItDrainsGetsNoMore(t *testing.T) {
+func TestDrainingInstanceGetsNoCalls(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 2, 2)
 	l.instances[0].Set(standin.Faults{Drains: true})
 	began := time.Now()
-	_, refused := l.ask(t, 40, 4*time.Second)
+	_, refused := l.sendCalls(t, 40, 4*time.Second)
 	g.Expect(refused).To(BeEmpty())
 	for _, at := range l.instances[0].Came() {
 		g.Expect(at.Sub(began)).To(BeNumerically("<", 2*time.Second))
 	}
 }
 
-// An instance that asked for many short rests is not held to be sick: it gets calls as soon as it takes them.
-func TestRestsAreNotHeldAgainstAnInstance(t *testing.T) {
+// Guards against ejecting an instance that asked for many short backoffs: it must get calls as soon as
+// it accepts them again.
+func TestBackoffIsNotCountedAsFailure(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 2)
 	l.instances[0].Set(standin.Faults{Rest: "0.05"})
-	_, refused := l.ask(t, 40, 8*time.Second)
+	_, refused := l.sendCalls(t, 40, 8*time.Second)
 	g.Expect(refused).To(BeEmpty())
-	turned := len(l.instances[0].Came())
-	g.Expect(turned).To(BeNumerically(">", 10))
+	rejected := len(l.instances[0].Came())
+	g.Expect(rejected).To(BeNumerically(">", 10))
 	l.instances[0].Set(standin.Faults{})
-	l.ask(t, 40, 1500*time.Millisecond)
-	g.Expect(len(l.instances[0].Came())-turned).To(BeNumerically(">", 15), "half of what comes is its own")
+	l.sendCalls(t, 40, 1500*time.Millisecond)
+	g.Expect(len(l.instances[0].Came())-rejected).To(BeNumerically(">", 15), "the instance gets half of the calls")
 }
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// retryShare is how many retries a first try earns.
-	retryShare = 0.1
-	// retryStore bounds what is earned, so that a long calm does not pay for a
+	// tokensPerRequest is the retry tokens that each first attempt adds.
+	tokensPerRequest = 0.1
+	// maxRetryTokens bounds the accumulated tokens, so that a long quiet period does not fund a retry
 	// storm.
-	retryStore = 20
-	// retryPause is the mean wait before the first retry; it doubles each time.
-	retryPause = 5 * time.Millisecond
+	maxRetryTokens = 20
+	// meanRetryDelay is the mean delay before the first retry; it doubles with each retry.
+	meanRetryDelay = 5 * time.Millisecond
 )
 
-// budget keeps retries to a share of first tries, so that a box adds little
-// load to backends that fail already.
-type budget struct {
+// retryBudget is a token bucket that limits retries to a share of first attempts, so that a box adds
+// little load to backends that already fail.
+type retryBudget struct {
 	mu     sync.Mutex
-	earned float64
+	tokens float64
 }
 
-func newBudget() *budget { return &budget{earned: retryStore} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxRetryTokens} }
 
-func (b *budget) first() {
+func (b *retryBudget) addRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned = min(b.earned+retryShare, retryStore)
+	b.tokens = min(b.tokens+tokensPerRequest, maxRetryTokens)
 }
 
-// retry takes one retry off the budget, if there is one.
-func (b *budget) retry() bool {
+// take removes one token and reports whether there was one.
+func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.earned < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.earned--
+	b.tokens--
 	return true
 }
 
-// left reports whether there is a retry in the budget.
-func (b *budget) left() bool {
+// hasToken reports whether the budget permits a retry.
+func (b *retryBudget) hasToken() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.earned >= 1
+	return b.tokens >= 1
 }
 
-// jitter draws the wait before the retry behind attempt n.
-func (*budget) jitter(n int) time.Duration {
-	return time.Duration(rand.Int64N(int64(2*retryPause) << n))
+// jitter returns a random delay before the retry after attempt n.
+func (*retryBudget) jitter(n int) time.Duration {
+	return time.Duration(rand.Int64N(int64(2*meanRetryDelay) << n))
 }
--- a/entry/crashers.go
+++ b/entry/crashers.go
@@ -14,56 +14,59 @@
 	"leverdrum/state"
 )
 
-// lookTimeout bounds a look at a backend server that broke off.
-const lookTimeout = 400 * time.Millisecond
+// livenessProbeTimeout bounds the connection attempt to a backend server that closed a connection
+// early.
+const livenessProbeTimeout = 400 * time.Millisecond
 
-// print stands for the request in whatever attempt and at whatever box it comes. The version of the
-// weights is part of it: other weights run another request.
+// print returns the request's fingerprint, which is the same for all attempts and at all boxes.
+// It includes the version of the weights, because with other weights the request runs differently.
 func (e *Entry) print(j *job) crasher.Fingerprint {
-	if j.printed == (crasher.Fingerprint{}) {
+	if j.fingerprint == (crasher.Fingerprint{}) {
 		name := j.target.Name
 		if m := e.opts.View().Fleet.Models[name]; m != nil {
 			name += "@" + m.Version
 		}
-		j.printed = crasher.FingerprintOf(crasher.Content{Method: j.attempt.Method, Target: j.attempt.Path, Model: name, Body: j.attempt.Body})
+		j.fingerprint = crasher.FingerprintOf(crasher.Content{Method: j.attempt.Method, Target: j.attempt.Path, Model: name, Body: j.attempt.Body})
 	}
-	return j.printed
+	return j.fingerprint
 }
 
-// held reports whether the request must go to no server any more (package crasher).
-func (e *Entry) held(j *job) bool {
+// blocked reports whether the request must not be sent to any server (package crasher).
+func (e *Entry) blocked(j *job) bool {
 	crashers := &e.opts.View().Crashers
 	return crashers.HasBlocked() && crashers.Blocks(e.print(j), "")
 }
 
-// suspected reports whether the request, with the attempt that has just broken, is as good as held: it is not sent on
-// while the word of that end is on its way.
-func (e *Entry) suspected(j *job) bool {
-	return j.breaks > 0 && e.opts.View().Crashers.NextReportBlocks(e.print(j), "", j.breaks-1)
+// nextReportBlocks reports whether the request will be blocked once the report on the attempt that
+// just broke off is applied. It is not retried while that report is in flight.
+func (e *Entry) nextReportBlocks(j *job) bool {
+	return j.brokenAttempts > 0 && e.opts.View().Crashers.NextReportBlocks(e.print(j), "", j.brokenAttempts-1)
 }
 
-// noteBroken has a broken attempt watched: its backend server may have ended under it.
-func (e *Entry) noteBroken(j *job, b *route.Backend, why *reason.Reason) {
+// recordFailedAttempt has the crash watcher check whether the backend server terminated during the
+// attempt.
+func (e *Entry) recordFailedAttempt(j *job, b *route.Backend, why *reason.Reason) {
 	if why != reason.BackendBroke && why != reason.StreamBroke || b.Draining() {
 		return
 	}
-	j.breaks++
-	e.broken.RecordFailure(crasher.Server{ID: lifeOf(e.opts.View(), b.Name)}, crasher.FailedAttempt{
-		Fingerprint: e.print(j), SentAt: j.sentAt, FirstEventAt: j.firstAt, FailedAt: time.Now(),
-	}, func() crasher.Liveness { return fateOf(b.Address) })
+	j.brokenAttempts++
+	e.crashWatcher.RecordFailure(crasher.Server{ID: incarnationOf(e.opts.View(), b.Name)}, crasher.FailedAttempt{
+		Fingerprint: e.print(j), SentAt: j.sentAt, FirstEventAt: j.firstEventAt, FailedAt: time.Now(),
+	}, func() crasher.Liveness { return probeLiveness(b.Address) })
 }
 
-// lifeOf names a server's present incarnation; instances of services have none that is known.
-func lifeOf(view *state.State, name string) string {
+// incarnationOf returns the ID of a server's current incarnation. The incarnations of service
+// instances are unknown, so for these it returns the name.
+func incarnationOf(view *state.State, name string) string {
 	if s := view.Servers.Get(name); s != nil {
 		return name + "/" + s.Incarnation
 	}
 	return name
 }
 
-// fateOf asks for a connection.
-func fateOf(address string) crasher.Liveness {
-	c, err := net.DialTimeout("tcp", address, lookTimeout)
+// probeLiveness tries to connect to the address.
+func probeLiveness(address string) crasher.Liveness {
+	c, err := net.DialTimeout("tcp", address, livenessProbeTimeout)
 	switch {
 	case err == nil:
 		c.Close()
@@ -74,30 +77,31 @@
 	return crasher.Unknown
 }
 
-// noteEnded has told what broke off at servers that have started anew since, as far as is agreed.
-func (e *Entry) noteEnded(view *state.State) {
-	e.broken.ReportServed(&view.Crashers)
-	waiting := e.broken.PendingServers()
-	if len(waiting) == 0 || view.Fleet == nil {
+// reportTerminated compares the servers of failed attempts with the replicated state, and reports
+// those whose incarnation has ended since.
+func (e *Entry) reportTerminated(view *state.State) {
+	e.crashWatcher.ReportServed(&view.Crashers)
+	pending := e.crashWatcher.PendingServers()
+	if len(pending) == 0 || view.Fleet == nil {
 		return
 	}
-	lives := map[string]bool{}
+	incarnations := map[string]bool{}
 	for name := range view.Servers.All() {
-		lives[lifeOf(view, name)] = true
+		incarnations[incarnationOf(view, name)] = true
 	}
 	for name := range view.Fleet.Instances {
-		lives[name] = true
+		incarnations[name] = true
 	}
-	for _, s := range waiting {
-		if !lives[s.ID] {
-			e.broken.RecordTermination(s)
+	for _, s := range pending {
+		if !incarnations[s.ID] {
+			e.crashWatcher.RecordTermination(s)
 		}
 	}
 }
 
-// noteServed remembers that a request was answered in full.
-func (e *Entry) noteServed(j *job, a *proxy.Response) {
-	if a.Status < http.StatusMultipleChoices {
-		e.broken.RecordServed(e.print(j), "", &e.opts.View().Crashers)
+// recordServed records that a request was answered completely.
+func (e *Entry) recordServed(j *job, response *proxy.Response) {
+	if response.Status < http.StatusMultipleChoices {
+		e.crashWatcher.RecordServed(e.print(j), "", &e.opts.View().Crashers)
 	}
 }
--- a/entry/crashers_test.go
+++ b/entry/crashers_test.go
@@ -25,14 +25,15 @@
 	"leverdrum/wire"
 )
 
-// mortal is an instance that ends under a body "boom" and is back at its address after 100 ms.
-type mortal struct {
+// crashingInstance is an instance that terminates on a request with body "boom" and restarts at the
+// same address 100 ms later.
+type crashingInstance struct {
 	address string
-	ended   *atomic.Int64
+	crashes *atomic.Int64
 	closed  *atomic.Bool
 }
 
-func (m *mortal) start(t *testing.T) {
+func (m *crashingInstance) start(t *testing.T) {
 	l, err := net.Listen("tcp", m.address)
 	if err != nil {
 		t.Error(err)
@@ -41,13 +42,13 @@
 	m.address = l.Addr().String()
 	s := &http.Server{}
 	s.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // a caller that has gone is met at the next write
+		body, _ := io.ReadAll(r.Body) // a caller that hung up is detected at the next write
 		if string(body) != "boom" {
 			fmt.Fprintln(w, "served")
 			return
 		}
 		s.Close()
-		m.ended.Add(1)
+		m.crashes.Add(1)
 		time.AfterFunc(100*time.Millisecond, func() {
 			if !m.closed.Load() {
 				m.start(t)
@@ -56,20 +57,20 @@
 		panic(http.ErrAbortHandler)
 	})
 	t.Cleanup(func() { s.Close() })
-	go s.Serve(l) // ends with Close
+	go s.Serve(l) // returns after Close
 }
 
-// agreedHere is the agreed state of a box that is its own leader.
-type agreedHere struct {
-	mu    sync.Mutex
-	view  atomic.Pointer[state.State]
-	began time.Time
+// localState is the replicated state of a single box that is its own leader.
+type localState struct {
+	mu        sync.Mutex
+	view      atomic.Pointer[state.State]
+	startedAt time.Time
 }
 
-func (a *agreedHere) take(r *wire.CrashReport) {
+func (a *localState) applyCrashReport(r *wire.CrashReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := time.Since(a.began).Milliseconds()
+	now := time.Since(a.startedAt).Milliseconds()
 	for _, s := range r.Signs {
 		s.SentMs, s.EndedMs = now-int64(s.SentAgoMs), now-int64(s.EndedAgoMs)
 	}
@@ -79,27 +80,27 @@
 	a.view.Store(next)
 }
 
-// Calls of the product's own interface went to one instance after another that ended under them, as long as they
-// came again: what an entry box knows of a call ended with the attempt.
-func TestACallThatCrashesInstancesIsStopped(t *testing.T) {
+// Guards against a call that crashes one instance after another through the entry interface for as
+// long as the caller repeats it, which happens if a box forgets a call when its attempt ends.
+func TestCrasherIsBlocked(t *testing.T) {
 	g := NewWithT(t)
-	ended, closed := &atomic.Int64{}, &atomic.Bool{}
+	crashes, closed := &atomic.Int64{}, &atomic.Bool{}
 	t.Cleanup(func() { closed.Store(true) })
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 2s\n[service shop]\nclass = c\nnon-repeatable = POST /orders\n"
 	for i := range 6 {
-		m := &mortal{address: "127.0.0.1:0", ended: ended, closed: closed}
+		m := &crashingInstance{address: "127.0.0.1:0", crashes: crashes, closed: closed}
 		m.start(t)
 		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, m.address)
 	}
 	st, err := standin.Agreed(text)
 	g.Expect(err).NotTo(HaveOccurred())
-	agreed := &agreedHere{began: time.Now()}
-	agreed.view.Store(st)
+	replicated := &localState{startedAt: time.Now()}
+	replicated.view.Store(st)
 	d := route.NewDirectory("a")
 	d.Update(st)
 	box := httptest.NewServer(entry.New(entry.Options{
-		Directory: d, View: agreed.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
-		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1000, ReportCrash: agreed.take,
+		Directory: d, View: replicated.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
+		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1000, ReportCrash: replicated.applyCrashReport,
 	}))
 	t.Cleanup(box.Close)
 	call := func(path, body string) (int, string, string) {
@@ -112,18 +113,18 @@
 		call("/books", "boom")
 		time.Sleep(30 * time.Millisecond)
 	}
-	g.Expect(ended.Load()).To(BeNumerically("<=", 6), "three that show it, and as many again")
-	status, reason, after := call("/books", "boom")
+	g.Expect(crashes.Load()).To(BeNumerically("<=", 6), "three crashes block the call; at most three more are in flight meanwhile")
+	status, reason, retryAfter := call("/books", "boom")
 	g.Expect(status).To(Equal(http.StatusUnprocessableEntity))
 	g.Expect(reason).To(Equal("crashes-servers"))
-	g.Expect(after).To(BeEmpty())
+	g.Expect(retryAfter).To(BeEmpty())
 	g.Eventually(func() int { s, _, _ := call("/books", "harmless"); return s }, 5*time.Second).Should(Equal(http.StatusOK))
-	for range 20 { // calls that may not be repeated are sent once each, and held alike
+	for range 20 { // non-repeatable calls get one attempt each and are blocked in the same way
 		call("/orders", "boom")
 		time.Sleep(30 * time.Millisecond)
 	}
-	g.Expect(ended.Load()).To(BeNumerically("<=", 12))
+	g.Expect(crashes.Load()).To(BeNumerically("<=", 12))
 	_, reason, _ = call("/orders", "boom")
 	g.Expect(reason).To(Equal("crashes-servers"))
-	t.Logf("%d instances ended under two calls", ended.Load())
+	t.Logf("%d crashes of instances under two calls", crashes.Load())
 }
--- a/entry/demand.go
+++ b/entry/demand.go
@@ -11,65 +11,65 @@
 	"leverdrum/wire"
 )
 
-// demandWindow is the time over which demand is averaged.
+// demandWindow is the period over which demand is averaged.
 const demandWindow = 5 * time.Second
 
-// demand counts what a box is asked for, by model. A request that was refused
-// for lack of room counts with the time that others of its model took.
+// demand counts the requests that a box receives per model. A request refused for lack of capacity
+// counts with the duration of the model's last served request.
 type demand struct {
-	mu     sync.Mutex
-	began  time.Time
-	now    map[string]*count
-	before map[string]*count // of the window before
-	took   map[string]time.Duration
+	mu           sync.Mutex
+	windowStart  time.Time
+	current      map[string]*modelDemand
+	previous     map[string]*modelDemand // the window before current
+	lastDuration map[string]time.Duration
 }
 
-type count struct {
+type modelDemand struct {
 	requests int
 	work     time.Duration
 }
 
 func newDemand() *demand {
-	return &demand{began: time.Now(), now: map[string]*count{}, before: map[string]*count{}, took: map[string]time.Duration{}}
+	return &demand{windowStart: time.Now(), current: map[string]*modelDemand{}, previous: map[string]*modelDemand{}, lastDuration: map[string]time.Duration{}}
 }
 
-// note counts one request, and the time that it kept a place, 0 when refused.
-func (d *demand) note(model string, work time.Duration) {
+// record counts one request and the time that it occupied a slot, 0 if it was refused.
+func (d *demand) record(model string, work time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.turn(time.Now())
-	c := d.now[model]
+	d.rotate(time.Now())
+	c := d.current[model]
 	if c == nil {
-		c = &count{}
-		d.now[model] = c
+		c = &modelDemand{}
+		d.current[model] = c
 	}
 	c.requests++
 	if work > 0 {
-		d.took[model] = work
+		d.lastDuration[model] = work
 	}
-	c.work += d.took[model]
+	c.work += d.lastDuration[model]
 }
 
-func (d *demand) turn(now time.Time) {
-	age := now.Sub(d.began)
+func (d *demand) rotate(now time.Time) {
+	age := now.Sub(d.windowStart)
 	if age < demandWindow {
 		return
 	}
-	d.before = d.now
+	d.previous = d.current
 	if age > 2*demandWindow {
-		d.before = map[string]*count{}
+		d.previous = map[string]*modelDemand{}
 	}
-	d.now, d.began = map[string]*count{}, now
+	d.current, d.windowStart = map[string]*modelDemand{}, now
 }
 
-// list returns the demand of the last whole window.
+// list returns the demand of the last complete window.
 func (d *demand) list() []*wire.Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.turn(time.Now())
+	d.rotate(time.Now())
 	var list []*wire.Demand
-	for _, model := range slices.Sorted(maps.Keys(d.before)) {
-		c := d.before[model]
+	for _, model := range slices.Sorted(maps.Keys(d.previous)) {
+		c := d.previous[model]
 		list = append(list, &wire.Demand{
 			Model: model, MilliRequests: uint32(1000 * float64(c.requests) / demandWindow.Seconds()),
 			MilliPlaces: uint32(1000 * c.work.Seconds() / demandWindow.Seconds()),
@@ -78,11 +78,11 @@
 	return list
 }
 
-// Demand returns what this box was asked for lately, by model; adapters count
-// for their models.
+// Demand returns the recent demand at this box by model. Requests for adapters count for their base
+// models.
 func (e *Entry) Demand() []*wire.Demand { return e.demand.list() }
 
-// modelOf names the model that a target's demand counts for, "" for services.
+// modelOf returns the model that a target's demand counts for, "" for services.
 func modelOf(view *state.State, t *route.Target) string {
 	if t.Service != nil || view.Fleet == nil {
 		return ""
@@ -93,9 +93,9 @@
 	return t.Name
 }
 
-// noteDemand counts a request of a model.
-func (e *Entry) noteDemand(t *route.Target, work time.Duration) {
+// recordDemand counts a request for a target's model and the time that it occupied a slot.
+func (e *Entry) recordDemand(t *route.Target, work time.Duration) {
 	if model := modelOf(e.opts.View(), t); model != "" {
-		e.demand.note(model, work)
+		e.demand.record(model, work)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry takes callers' requests, chooses a backend server for each, and
-// answers with the whole answer or with a reason and an outcome.
+// Package entry is the HTTP interface for callers. It selects a backend server for each request and
+// answers with the complete response, or with a reason and an outcome.
 package entry
 
 import (
@@ -25,64 +25,66 @@
 	"leverdrum/wire"
 )
 
-// Headers of answers.
+// Request and response headers.
 const (
 	// HeaderOutcome carries the outcome of the request.
 	HeaderOutcome = "X-Leverdrum-Outcome"
-	// HeaderReason carries the code of a refusal.
+	// HeaderReason carries the reason code of a refusal.
 	HeaderReason = "X-Leverdrum-Reason"
-	// HeaderRequestID names the request; a caller may send its own.
+	// HeaderRequestID carries the request ID; a caller may send its own.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderReplayed marks the answer of an earlier call with the same key.
+	// HeaderReplayed marks a stored response to an earlier call with the same key.
 	HeaderReplayed = "X-Leverdrum-Replayed"
-	// HeaderSession names the session that a chat request belongs to.
+	// HeaderSession carries the name of the session that a chat request belongs to.
 	HeaderSession = "X-Session"
-	// HeaderCaller names the caller, for fair shares.
+	// HeaderCaller carries the caller's name for fair sharing.
 	HeaderCaller = "X-Caller"
 )
 
-// Options make an Entry.
+// Options configures an Entry.
 type Options struct {
 	Directory *route.Directory
 	View      func() *state.State
-	// Current reports whether the box may act on its configuration.
+	// Current reports whether the box may act on its copy of the configuration.
 	Current func() bool
 	Sender  *proxy.Sender
 	Meters  *meter.Meters
 	Records *record.Book
 	MaxBody int64
-	// BodyTimeout bounds the reading of a body; 0: no bound.
+	// BodyTimeout bounds the time to read a request body; 0 means no limit.
 	BodyTimeout time.Duration
-	// ReportCrash tells of requests under which servers ended; nil where nobody is to hear. It must not block.
+	// ReportCrash reports requests during which servers terminated. It must not block. nil discards
+	// the reports.
 	ReportCrash func(*wire.CrashReport)
-	// Claims guards the keys of calls that may run at most once.
+	// Claims stores the keys of calls that may run at most once.
 	Claims ClaimStore
-	// Quotas bounds what workspaces are served; nil where nothing does.
+	// Quotas enforces the workspaces' quotas; nil means no quotas.
 	Quotas *rate.Limiter
-	// Pushback keeps to what backends say of themselves; nil where none does.
+	// Pushback applies the limits, backoffs and draining notices that backend servers report; nil
+	// ignores them.
 	Pushback *pushback.Registry
 }
 
-// Entry is the callers' side of a box.
+// Entry is the HTTP handler of a box for callers.
 type Entry struct {
-	opts     Options
-	gate     *admit.Controller
-	budget   *budget
-	patience *patience
-	demand   *demand
-	broken   *crasher.Watcher
-	inFlight atomic.Int64
-	draining atomic.Bool
-	stopping atomic.Bool
-	router   chi.Router
+	opts         Options
+	admission    *admit.Controller
+	budget       *retryBudget
+	latencies    *latencyTracker
+	demand       *demand
+	crashWatcher *crasher.Watcher
+	inFlight     atomic.Int64
+	draining     atomic.Bool
+	stopping     atomic.Bool
+	router       chi.Router
 }
 
-// New returns an Entry.
+// New returns an Entry with the given options.
 func New(opts Options) *Entry {
 	if opts.ReportCrash == nil {
 		opts.ReportCrash = func(*wire.CrashReport) {}
 	}
-	e := &Entry{broken: crasher.NewWatcher(opts.ReportCrash), opts: opts, gate: admit.NewController(opts.Directory), budget: newBudget(), patience: newPatience(), demand: newDemand()}
+	e := &Entry{crashWatcher: crasher.NewWatcher(opts.ReportCrash), opts: opts, admission: admit.NewController(opts.Directory), budget: newRetryBudget(), latencies: newLatencyTracker(), demand: newDemand()}
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", e.chat)
 	r.Get("/v1/models", e.models)
@@ -93,7 +95,7 @@
 	return e
 }
 
-// ServeHTTP counts the request in and routes it.
+// ServeHTTP routes the request and counts it as in flight meanwhile.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
@@ -107,16 +109,17 @@
 	e.router.ServeHTTP(w, r)
 }
 
-// InFlight returns the count of requests being served.
+// InFlight returns the number of requests being served.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Refresh starts requests that can start after the routes changed.
+// Refresh dispatches queued requests after a change of the routes, and reports crashes that the new
+// state reveals.
 func (e *Entry) Refresh() {
-	e.gate.Dispatch()
-	e.noteEnded(e.opts.View())
+	e.admission.Dispatch()
+	e.reportTerminated(e.opts.View())
 }
 
-// Drain closes each connection after its next answer.
+// Drain closes each connection after its next response.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
 // Stop refuses all further requests.
@@ -124,7 +127,7 @@
 
 const maxRequestID = 128
 
-// requestID takes over the caller's id or draws one.
+// requestID returns the caller's request ID, or a random one if it is missing or too long.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(HeaderRequestID)
 	if id == "" || len(id) > maxRequestID {
@@ -133,21 +136,21 @@
 	return id
 }
 
-// ErrorBody is the body of every refusal.
+// ErrorBody is the response body of every refusal.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what was refused and why.
+// ErrorDetail describes what was refused and why.
 type ErrorDetail struct {
-	// Code is stable, see docs/REASONS.md.
+	// Code is the stable reason code, see docs/REASONS.md.
 	Code string `json:"code"`
 	// Type is the outcome: not-run, failed or unknown.
 	Type string `json:"type"`
-	// Message is for people.
+	// Message is human-readable.
 	Message   string `json:"message"`
 	RequestID string `json:"request_id"`
-	// RetryAfter is in seconds, 0 when the request should not be repeated as it is.
+	// RetryAfter is in seconds; 0 means that the request should not be retried unchanged.
 	RetryAfter int `json:"retry_after,omitempty"`
 }
 
@@ -159,12 +162,12 @@
 	return ErrorBody{ErrorDetail{why.Code, string(why.Outcome), message, id, after}}
 }
 
-// refuse answers at once with a reason.
+// refuse answers immediately with a reason and the reason's own retry delay.
 func (e *Entry) refuse(w http.ResponseWriter, id string, why *reason.Reason, detail string) {
 	e.refuseFor(w, id, why, detail, why.RetryAfter)
 }
 
-// refuseFor answers at once with a reason, and has the caller come back after a time; 0: not.
+// refuseFor answers immediately with a reason and a Retry-After header; 0 omits the header.
 func (e *Entry) refuseFor(w http.ResponseWriter, id string, why *reason.Reason, detail string, after time.Duration) {
 	e.opts.Meters.Refuse(why)
 	e.opts.Records.Note(record.Request, id, "refused: "+why.Code, why.Title+" "+detail)
@@ -178,12 +181,12 @@
 		h.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(why.Status)
-	// A caller that has gone does not read its answer; nothing is left to do then.
+	// The error is ignored: a caller that hung up needs no answer.
 	_ = json.NewEncoder(w).Encode(errorBody(id, why, detail, seconds))
 }
 
-// usable refuses what this box must not serve now, and returns the table.
-func (e *Entry) usable() (*route.Table, *reason.Reason) {
+// routingTable returns the routing table, or the reason why this box must not serve at present.
+func (e *Entry) routingTable() (*route.Table, *reason.Reason) {
 	if e.opts.View().Fleet == nil {
 		return nil, reason.NoFleet
 	}
@@ -191,7 +194,7 @@
 		return nil, reason.NotCurrent
 	}
 	table := e.opts.Directory.Table()
-	if table.Models == nil { // the routes follow the state a moment later
+	if table.Models == nil { // the routes are built shortly after the state arrives
 		return nil, reason.NoFleet
 	}
 	return table, nil
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -32,12 +32,12 @@
 
 func TestEntry(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "callers' side")
+	RunSpecs(t, "entry")
 }
 
-// bed is an entry box before two model servers and a service on two backend
-// servers, which keep one account.
-type bed struct {
+// fixture is an entry box with two model servers and one service on two backend servers; the service's
+// backend servers share one execution log.
+type fixture struct {
 	engines [2]*standin.Engine
 	servers [2]*httptest.Server
 	shop    *standin.Service
@@ -56,11 +56,11 @@
 	return s
 }
 
-// newBed makes a bed; resumes tells which of the model servers resume streams.
-func newBed(deadline string, resumes ...bool) *bed {
+// newFixture returns a fixture; resumes tells which of the model servers can resume streams.
+func newFixture(deadline string, resumes ...bool) *fixture {
 	GinkgoHelper()
 	resumes = append(resumes, false, false)
-	b := &bed{shop: standin.NewService("shop", "Idempotency-Key", 0), meters: meter.New()}
+	b := &fixture{shop: standin.NewService("shop", "Idempotency-Key", 0), meters: meter.New()}
 	b.current.Store(true)
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\nstall-after = 100ms\nfirst-token = 1s\ndeadline = " + deadline + "\n[class urgent]\ndeadline = " + deadline + "\npriority = 5\n"
 	for i := range b.engines {
@@ -90,13 +90,13 @@
 	return b
 }
 
-func (b *bed) both(f standin.Faults) {
+func (b *fixture) setFaults(f standin.Faults) {
 	for _, e := range b.engines {
 		e.Set(f)
 	}
 }
 
-func (b *bed) ran() int {
+func (b *fixture) executions() int {
 	sum := 0
 	for _, e := range b.engines {
 		for _, n := range e.Account().Ran {
@@ -114,7 +114,7 @@
 	err             error
 }
 
-func (b *bed) do(method, path, body string, header ...string) reply {
+func (b *fixture) do(method, path, body string, header ...string) reply {
 	GinkgoHelper()
 	req, err := http.NewRequest(method, "http://"+b.address+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -130,25 +130,25 @@
 	return reply{resp.StatusCode, resp.Header.Get(entry.HeaderOutcome), resp.Header.Get(entry.HeaderReason), resp.Header.Get("Retry-After"), string(data), err}
 }
 
-func (b *bed) chat(body string) reply {
+func (b *fixture) chat(body string) reply {
 	GinkgoHelper()
 	return b.do(http.MethodPost, engine.ChatPath, body)
 }
 
-func (b *bed) refusals(r *reason.Reason) float64 {
+func (b *fixture) refusals(r *reason.Reason) float64 {
 	return testutil.ToFloat64(b.meters.Count(meter.Refusals, r.Code))
 }
 
 const (
-	ask    = `{"model":"m"}`
-	stream = `{"model":"m","stream":true,"max_tokens":20}`
+	chatRequest   = `{"model":"m"}`
+	streamRequest = `{"model":"m","stream":true,"max_tokens":20}`
 )
 
-var _ = Describe("a box before backend servers", func() {
-	var b *bed
-	BeforeEach(func() { b = newBed("2s") })
+var _ = Describe("Entry", func() {
+	var b *fixture
+	BeforeEach(func() { b = newFixture("2s") })
 
-	DescribeTable("refuses what is wrong, with a stable reason and nothing run",
+	DescribeTable("refuses invalid requests with a stable reason and runs nothing",
 		func(method, path, body string, why *reason.Reason) {
 			r := b.do(method, path, body)
 			Expect(r.status).To(Equal(why.Status))
@@ -156,29 +156,29 @@
 			Expect(r.outcome).To(Equal("not-run"))
 			Expect(r.body).To(ContainSubstring(`"code":"` + why.Code + `"`))
 			Expect(b.refusals(why)).To(BeEquivalentTo(1))
-			Expect(b.ran()).To(BeZero())
+			Expect(b.executions()).To(BeZero())
 		},
-		Entry("no JSON", "POST", engine.ChatPath, "hello", reason.BadRequest),
+		Entry("malformed JSON", "POST", engine.ChatPath, "hello", reason.BadRequest),
 		Entry("no model", "POST", engine.ChatPath, "{}", reason.BadRequest),
-		Entry("a model that is no text", "POST", engine.ChatPath, `{"model":7}`, reason.BadRequest),
+		Entry("a model that is not a string", "POST", engine.ChatPath, `{"model":7}`, reason.BadRequest),
 		Entry("an unknown model", "POST", engine.ChatPath, `{"model":"x"}`, reason.UnknownModel),
-		Entry("a model that is not loaded", "POST", engine.ChatPath, `{"model":"n"}`, reason.NotResident),
+		Entry("a model without a loaded copy", "POST", engine.ChatPath, `{"model":"n"}`, reason.NotResident),
 		Entry("a body that is too large", "POST", engine.ChatPath, strings.Repeat("x", 1001), reason.BodyTooLarge),
 		Entry("an unknown service", "GET", "/services/x/", "", reason.UnknownService),
 		Entry("an unknown path", "GET", "/v2", "", reason.UnknownPath),
-		Entry("another method", "GET", engine.ChatPath, "", reason.UnknownPath),
+		Entry("an unsupported method", "GET", engine.ChatPath, "", reason.UnknownPath),
 	)
 
-	It("refuses while it may not be current", func() {
+	It("refuses requests while its configuration may be outdated", func() {
 		b.current.Store(false)
-		r := b.chat(ask)
+		r := b.chat(chatRequest)
 		Expect(r.reason).To(Equal(reason.NotCurrent.Code))
 		Expect(r.retryAfter).To(Equal("1"))
 	})
 
-	It("answers whole, in JSON and in a stream", func() {
-		Expect(b.chat(ask).body).To(ContainSubstring("m@1"))
-		r := b.chat(stream)
+	It("returns complete responses, as JSON and as a stream", func() {
+		Expect(b.chat(chatRequest).body).To(ContainSubstring("m@1"))
+		r := b.chat(streamRequest)
 		Expect(r.outcome).To(Equal("done"))
 		text, err := standin.ReadStream(strings.NewReader(r.body))
 		Expect(err).NotTo(HaveOccurred())
@@ -186,68 +186,68 @@
 		Expect(b.do("GET", "/v1/models", "").body).To(ContainSubstring(`"id":"m"`))
 	})
 
-	DescribeTable("tries another server when one fails before its answer is whole",
+	DescribeTable("retries at another server when one fails before its response is complete",
 		func(f standin.Faults, why *reason.Reason) {
 			b.engines[0].Set(f)
-			for range 30 { // a choice is drawn: the bad server is missed once in 2^30
-				r := b.chat(ask)
+			for range 30 { // servers are chosen at random: the faulty one is never chosen in 1 of 2^30 runs
+				r := b.chat(chatRequest)
 				Expect(r.status).To(Equal(http.StatusOK))
 				Expect(r.body).To(ContainSubstring("m@1"))
 			}
 			Expect(testutil.ToFloat64(b.meters.Count(meter.RetriesMade, why.Code))).To(BeNumerically(">", 0))
 		},
-		Entry("it breaks off before its answer", standin.Faults{BreakBefore: true}, reason.RetryBroke),
-		Entry("it breaks off within its answer", standin.Faults{BreakAfter: 10}, reason.RetryBroke),
-		Entry("it refuses", standin.Faults{Refuse: true}, reason.RetryRefused),
-		Entry("it answers another attempt", standin.Faults{WrongID: true}, reason.RetryBroke),
-		Entry("it fails", standin.Faults{Status: 500}, reason.RetryFailed),
-		Entry("it takes far longer than usual", standin.Faults{DelayMs: 60_000, Every: 3}, reason.RetrySlow),
+		Entry("closes the connection before its response", standin.Faults{BreakBefore: true}, reason.RetryBroke),
+		Entry("closes the connection within its response", standin.Faults{BreakAfter: 10}, reason.RetryBroke),
+		Entry("refuses", standin.Faults{Refuse: true}, reason.RetryRefused),
+		Entry("responds to another attempt", standin.Faults{WrongID: true}, reason.RetryBroke),
+		Entry("responds with status 500", standin.Faults{Status: 500}, reason.RetryFailed),
+		Entry("takes far longer than usual", standin.Faults{DelayMs: 60_000, Every: 3}, reason.RetrySlow),
 	)
 
-	It("goes back to a server that was only slow where the other one fails", func() {
-		for range 30 { // how long an answer takes is learned
-			Expect(b.chat(ask).status).To(Equal(http.StatusOK))
+	It("retries a server that was only slow when the other one fails", func() {
+		for range 30 { // lets the box learn the usual duration
+			Expect(b.chat(chatRequest).status).To(Equal(http.StatusOK))
 		}
 		b.engines[0].Set(standin.Faults{Status: 500})
 		b.engines[1].Set(standin.Faults{DelayMs: 300, Every: 3})
 		for range 30 {
-			Expect(b.chat(ask).status).To(Equal(http.StatusOK))
+			Expect(b.chat(chatRequest).status).To(Equal(http.StatusOK))
 		}
 	})
 
-	DescribeTable("says what is known when all servers fail",
+	DescribeTable("reports the outcome when all servers fail",
 		func(f standin.Faults, why *reason.Reason) {
-			b.both(f)
-			r := b.chat(ask)
+			b.setFaults(f)
+			r := b.chat(chatRequest)
 			Expect(r.status).To(Equal(why.Status))
 			Expect(r.reason).To(Equal(why.Code))
 			Expect(r.outcome).To(Equal(string(why.Outcome)))
 			if why.Outcome == reason.NotRun {
-				Expect(b.ran()).To(BeZero(), "a refusal that says not run must be true")
+				Expect(b.executions()).To(BeZero(), "outcome not-run must mean that nothing ran")
 				Expect(r.retryAfter).To(Equal("1"))
 			}
 		},
-		Entry("by breaking off", standin.Faults{BreakBefore: true}, reason.BackendBroke),
-		Entry("by breaking off within the answer", standin.Faults{BreakAfter: 10}, reason.BackendBroke),
-		Entry("by refusing", standin.Faults{Refuse: true}, reason.BackendRefused),
-		Entry("by answering others", standin.Faults{WrongID: true}, reason.BackendBroke),
-		Entry("by being late", standin.Faults{DelayMs: 3000}, reason.BackendLate),
+		Entry("by closing the connection", standin.Faults{BreakBefore: true}, reason.BackendBroke),
+		Entry("by closing the connection within the response", standin.Faults{BreakAfter: 10}, reason.BackendBroke),
+		Entry("by refusing the request", standin.Faults{Refuse: true}, reason.BackendRefused),
+		Entry("by responding to another attempt", standin.Faults{WrongID: true}, reason.BackendBroke),
+		Entry("by exceeding the deadline", standin.Faults{DelayMs: 3000}, reason.BackendLate),
 	)
 
-	It("says not run when nothing listens", func() {
+	It("reports not-run when no server is listening", func() {
 		for _, s := range b.servers {
 			s.CloseClientConnections()
 			s.Close()
 		}
-		r := b.chat(ask)
+		r := b.chat(chatRequest)
 		Expect(r.reason).To(Equal(reason.NotReached.Code))
 		Expect(r.outcome).To(Equal("not-run"))
 	})
 
-	DescribeTable("never lets a broken stream look whole",
+	DescribeTable("never lets a broken stream appear complete",
 		func(f standin.Faults) {
-			b.both(f)
-			r := b.chat(stream)
+			b.setFaults(f)
+			r := b.chat(streamRequest)
 			Expect(r.status).To(Equal(http.StatusOK))
 			_, err := standin.ReadStream(strings.NewReader(r.body))
 			Expect(err).To(HaveOccurred())
@@ -255,43 +255,43 @@
 			Expect(r.body).To(ContainSubstring("event: error"))
 			Expect(r.body).To(ContainSubstring(reason.StreamBroke.Code))
 		},
-		Entry("that broke off", standin.Faults{BreakAfter: 300}),
-		Entry("that ended without its last event", standin.Faults{NoLastEvent: true}),
+		Entry("closed early", standin.Faults{BreakAfter: 300}),
+		Entry("ended without its last event", standin.Faults{NoLastEvent: true}),
 	)
 
-	Context("whose model servers resume streams", func() {
-		BeforeEach(func() { b = newBed("2s", true, true) })
-		right := strings.Join(standin.Words("m", "1", []byte(stream), 20), " ")
+	Context("with model servers that resume streams", func() {
+		BeforeEach(func() { b = newFixture("2s", true, true) })
+		right := strings.Join(standin.Words("m", "1", []byte(streamRequest), 20), " ")
 
-		It("goes on at another server with nothing twice and nothing missing", func() {
-			b.engines[0].Set(standin.Faults{BreakAfter: 450}) // in the midst of it
+		It("resumes at another server without duplicate or missing events", func() {
+			b.engines[0].Set(standin.Faults{BreakAfter: 450}) // in the middle of the stream
 			for range 30 {
-				r := b.chat(stream)
+				r := b.chat(streamRequest)
 				Expect(r.err).NotTo(HaveOccurred())
 				Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 			}
 			Expect(b.engines[1].Account().Resumed).To(BeNumerically(">", 0))
 			Expect(testutil.ToFloat64(b.meters.Count(meter.RetriesMade, reason.RetryStream.Code))).To(BeNumerically(">", 0))
 		})
-		It("goes on at the same server when there is no other", func() {
-			b.both(standin.Faults{BreakAfter: 1000}) // two breaks
-			r := b.chat(stream)
+		It("resumes at the same server when there is no other", func() {
+			b.setFaults(standin.Faults{BreakAfter: 1000}) // two breaks
+			r := b.chat(streamRequest)
 			Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 		})
-		It("goes on at another server when one falls silent, and leaves the silent one", func() {
+		It("resumes at another server when one stalls, and cancels the stalled request", func() {
 			b.engines[0].Set(standin.Faults{StallAfter: 450})
-			for range 10 { // the silent one is drawn at least once but for one in 2^10 runs
-				r := b.chat(stream)
+			for range 10 { // servers are chosen at random: the stalled one is never chosen in 1 of 2^10 runs
+				r := b.chat(streamRequest)
 				Expect(standin.ReadStream(strings.NewReader(r.body))).To(Equal(right))
 			}
 			Expect(b.engines[1].Account().Resumed).To(BeNumerically(">", 0))
 			Eventually(func() int { return b.engines[0].Account().Cancelled }).Should(BeNumerically(">", 0))
 		})
-		DescribeTable("breaks visibly rather than",
+		DescribeTable("reports the break instead of",
 			func(spoil func()) {
 				spoil()
-				for range 20 { // a choice is drawn: the bad server is missed once in 2^20
-					r := b.chat(stream)
+				for range 20 { // servers are chosen at random: the faulty one is never chosen in 1 of 2^20 runs
+					r := b.chat(streamRequest)
 					text, err := standin.ReadStream(strings.NewReader(r.body))
 					if err == nil {
 						Expect(r.err).NotTo(HaveOccurred())
@@ -303,8 +303,8 @@
 				}
 				Expect(b.refusals(reason.StreamBroke)).To(BeNumerically(">", 0))
 			},
-			Entry("go on for ever", func() { b.both(standin.Faults{BreakAfter: 100}) }),
-			Entry("go on with another version", func() {
+			Entry("resuming without limit", func() { b.setFaults(standin.Faults{BreakAfter: 100}) }),
+			Entry("resuming with another version of the weights", func() {
 				b.engines[1].Drop(0, "m", "1")
 				b.engines[1].Hold(0, "m", "", "2", 1)
 				b.engines[0].Set(standin.Faults{BreakAfter: 450})
@@ -312,43 +312,43 @@
 		)
 	})
 
-	It("does not continue a stream at a server that would begin anew", func() {
-		b = newBed("2s", true, false)
+	It("does not resume a stream at a server that would restart it", func() {
+		b = newFixture("2s", true, false)
 		b.engines[0].Set(standin.Faults{BreakAfter: 700})
 		for range 20 {
-			r := b.chat(stream)
+			r := b.chat(streamRequest)
 			Expect(standin.ReadStream(strings.NewReader(r.body))).To(HaveSuffix("w19"))
 		}
 		Expect(testutil.ToFloat64(b.meters.Count(meter.RetriesMade, reason.RetryStream.Code))).To(BeNumerically(">", 0))
 	})
 
-	DescribeTable("never says not run when an earlier attempt ran",
+	DescribeTable("never reports not-run when an earlier attempt ran",
 		func(f standin.Faults) {
 			b.engines[0].Set(f)
 			b.engines[1].Set(standin.Faults{Refuse: true})
-			for i := range 20 { // the first server is drawn first at least once but for one in 2^20 runs
+			for i := range 20 { // servers are chosen at random: the first server is never chosen first in 1 of 2^20 runs
 				id := fmt.Sprint("call", i)
-				r := b.do(http.MethodPost, engine.ChatPath, ask, entry.HeaderRequestID, id)
+				r := b.do(http.MethodPost, engine.ChatPath, chatRequest, entry.HeaderRequestID, id)
 				ran := b.engines[0].Account().Ran[id]
 				Expect(r.outcome == "not-run" && ran > 0).To(BeFalse(), "%s ran %d times and got %s", id, ran, r.reason)
 			}
-			Expect(b.ran()).To(BeNumerically(">", 0))
+			Expect(b.executions()).To(BeNumerically(">", 0))
 		},
-		Entry("and broke", standin.Faults{BreakBefore: true}),
-		Entry("and failed", standin.Faults{Status: 500}),
+		Entry("and its connection closed early", standin.Faults{BreakBefore: true}),
+		Entry("and failed with status 500", standin.Faults{Status: 500}),
 	)
 
-	It("passes on the answer of a server that failed when the others fail too, and ejects nobody for it", func() {
-		b.both(standin.Faults{Status: 503})
+	It("returns the response of a failed server when the others fail too, and ejects no server", func() {
+		b.setFaults(standin.Faults{Status: 503})
 		for range 10 {
-			r := b.chat(ask)
+			r := b.chat(chatRequest)
 			Expect(r.status).To(Equal(503))
 			Expect(r.outcome).To(Equal("failed"))
 			Expect(r.body).To(Equal("failed\n"))
 		}
-		Expect(testutil.ToFloat64(b.meters.Count(meter.Ejections))).To(BeZero(), "the fault may be the request's")
+		Expect(testutil.ToFloat64(b.meters.Count(meter.Ejections))).To(BeZero(), "the request may be at fault")
 	})
-	It("asks no other server when a call that may not be repeated failed", func() {
+	It("does not retry a failed non-repeatable call", func() {
 		b.shop.Set(standin.Faults{Status: 500})
 		r := b.do("POST", "/services/shop/orders", "one", entry.HeaderRequestID, "order1")
 		Expect(r.status).To(Equal(500))
@@ -356,18 +356,18 @@
 		Expect(b.shop.Account().Ran).To(Equal(map[string]int{"order1": 1}))
 	})
 
-	It("counts a stream as in time only if its first event is", func() {
+	It("counts a stream as in time only if its first event was", func() {
 		inTime := func() float64 { return testutil.ToFloat64(b.meters.Count(meter.InTime, "c")) }
-		Expect(b.chat(stream).outcome).To(Equal("done"))
+		Expect(b.chat(streamRequest).outcome).To(Equal("done"))
 		Expect(inTime()).To(BeEquivalentTo(1))
-		b.both(standin.Faults{DelayMs: 1200})
-		Expect(b.chat(stream).outcome).To(Equal("done"))
+		b.setFaults(standin.Faults{DelayMs: 1200})
+		Expect(b.chat(streamRequest).outcome).To(Equal("done"))
 		Expect(inTime()).To(BeEquivalentTo(1))
-		Expect(b.chat(ask).outcome).To(Equal("done"))
-		Expect(inTime()).To(BeEquivalentTo(2), "what is no stream has its deadline only")
+		Expect(b.chat(chatRequest).outcome).To(Equal("done"))
+		Expect(inTime()).To(BeEquivalentTo(2), "responses that are not streams only have the deadline")
 	})
 
-	It("gives up a caller that does not send its body, and lets answers take longer than that", func() {
+	It("refuses a request whose body does not arrive in time, and allows responses to take longer", func() {
 		c, err := net.Dial("tcp", b.address)
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
@@ -375,22 +375,22 @@
 		answer, err := io.ReadAll(c)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(answer)).To(ContainSubstring(reason.BadRequest.Code))
-		b.both(standin.Faults{DelayMs: 600})
-		Expect(b.chat(ask).status).To(Equal(http.StatusOK))
+		b.setFaults(standin.Faults{DelayMs: 600})
+		Expect(b.chat(chatRequest).status).To(Equal(http.StatusOK))
 	})
 
-	It("cancels the work of a caller that hangs up", func() {
-		b.both(standin.Faults{DelayMs: 300})
+	It("cancels the attempt when the caller hangs up", func() {
+		b.setFaults(standin.Faults{DelayMs: 300})
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.address+engine.ChatPath, strings.NewReader(ask))
+		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+b.address+engine.ChatPath, strings.NewReader(chatRequest))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = http.DefaultClient.Do(req)
 		Expect(err).To(HaveOccurred())
 		Eventually(func() int { return b.engines[0].Account().Cancelled + b.engines[1].Account().Cancelled }, "2s").Should(Equal(1))
 	})
 
-	It("sends a call that may not be repeated once, whatever happens", func() {
+	It("sends a non-repeatable call only once when its outcome is unknown", func() {
 		b.shop.Set(standin.Faults{BreakBefore: true})
 		r := b.do("POST", "/services/shop/orders", "two", entry.HeaderRequestID, "order1")
 		Expect(r.reason).To(Equal(reason.BackendBroke.Code))
@@ -398,16 +398,16 @@
 		Expect(b.shop.Account().Ran).To(Equal(map[string]int{"order1": 1}))
 	})
 
-	It("answers what it can under overload and refuses the rest as not run", func() {
-		b = newBed("400ms")
-		b.both(standin.Faults{DelayMs: 100})
-		Expect(b.chat(ask).status).To(Equal(http.StatusOK)) // the time of an answer is known now
+	It("serves requests up to capacity under overload and refuses the others as not-run", func() {
+		b = newFixture("400ms")
+		b.setFaults(standin.Faults{DelayMs: 100})
+		Expect(b.chat(chatRequest).status).To(Equal(http.StatusOK)) // lets the box learn the usual duration
 		var wg sync.WaitGroup
 		var ok, refused, late atomic.Int32
 		for range 150 {
 			wg.Go(func() {
 				defer GinkgoRecover()
-				switch r := b.chat(ask); {
+				switch r := b.chat(chatRequest); {
 				case r.status == http.StatusOK:
 					ok.Add(1)
 				case r.reason == reason.BackendLate.Code:
@@ -423,15 +423,15 @@
 		wg.Wait()
 		Expect(ok.Load() + late.Load()).To(BeNumerically(">=", 4))
 		Expect(refused.Load()).To(BeNumerically(">=", 10))
-		Expect(b.ran()).To(BeNumerically("<=", 1+ok.Load()+late.Load()), "a refusal that says not run must be true")
-		Expect(b.ran()).To(BeNumerically(">=", 1+ok.Load()))
+		Expect(b.executions()).To(BeNumerically("<=", 1+ok.Load()+late.Load()), "outcome not-run must mean that nothing ran")
+		Expect(b.executions()).To(BeNumerically(">=", 1+ok.Load()))
 	})
 })
 
-// TestTransportDoesNotSendAgain counts what arrives at a server that reads a
-// request on a kept connection and closes it without an answer: net/http's
-// transport would send such requests once more by itself.
-func TestTransportDoesNotSendAgain(t *testing.T) {
+// Guards against retries by net/http's transport. By default it resends a request if the server reads
+// it on a reused connection and closes the connection without an answer. The test counts the requests
+// that arrive.
+func TestTransportDoesNotRetry(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/entry/headers_test.go
+++ b/entry/headers_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestACallerDoesNotTakeTheDeadlineOff(t *testing.T) {
+func TestConnectionHeaderCannotRemoveDeadline(t *testing.T) {
 	g := NewWithT(t)
 	from := http.Header{"Connection": {"close", "X-Deadline-Ms, X-Mine"}, "X-Deadline-Ms": {"999999"}, "X-Mine": {"a"}, "X-Other": {"b"}}
 	h := attemptHeaders(from, 250*time.Millisecond)
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -20,7 +20,8 @@
 	"leverdrum/workspace"
 )
 
-// ClaimStore guards keys, see package keyed.
+// ClaimStore stores the claims on the keys of calls that may run at most once; package keyed
+// implements it.
 type ClaimStore interface {
 	Acquire(ctx context.Context, key, attempt string, digest []byte) claim.Answer
 	Record(key, attempt string, digest []byte, r *claim.Result)
@@ -28,12 +29,12 @@
 	AgeOf(c *claim.Claim) time.Duration
 }
 
-// runningSlack is how long behind its deadline a call without a result still
-// counts as running rather than as unknown.
-const runningSlack = 2 * time.Second
+// runningGrace is the time after its deadline for which a call without a result is still reported as
+// running; after that its outcome is unknown.
+const runningGrace = 2 * time.Second
 
-// keyOf returns the key of a call that may run at most once, "" without one.
-func keyOf(r *http.Request, j *job) string {
+// claimKey returns the key of a call that may run at most once, "" if it has none.
+func claimKey(r *http.Request, j *job) string {
 	if j.repeatable {
 		return ""
 	}
@@ -41,49 +42,50 @@
 	if key == "" {
 		return ""
 	}
-	return keyName(j.target.Name, j.owner, key)
+	return claimName(j.target.Name, j.owner, key)
 }
 
-// keyName names a claim. One workspace's key never finds another's call.
-func keyName(target string, owner *workspace.Workspace, key string) string {
+// claimName returns the name of a claim. It contains the workspace, so that a key of one workspace
+// never matches a call of another.
+func claimName(target string, owner *workspace.Workspace, key string) string {
 	if owner == nil {
 		return target + "\n" + key
 	}
 	return target + "\n" + owner.Name + "\n" + key
 }
 
-func digestOf(a *proxy.Attempt) []byte {
+func requestDigest(a *proxy.Attempt) []byte {
 	h := sha256.New()
 	h.Write([]byte(a.Method + "\n" + a.Path + "\n"))
 	h.Write(a.Body)
 	return h.Sum(nil)
 }
 
-// serveKeyed runs a call under its key: it claims the key, sends the call, and
-// keeps the answer for those who ask again. The call goes on when the caller
-// hangs up, so that its answer is known then.
+// serveKeyed acquires the claim on the call's key, sends the call and records the response for later
+// calls with the same key. The call continues if the caller hangs up, so that its result is recorded.
 func (e *Entry) serveKeyed(w http.ResponseWriter, r *http.Request, j *job) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), j.deadline())
 	defer cancel()
-	attempt, digest := rand.Text(), digestOf(&j.attempt)
+	attempt, digest := rand.Text(), requestDigest(&j.attempt)
 	answer := e.opts.Claims.Acquire(ctx, j.key, attempt, digest)
 	if answer.Verdict != claim.Granted {
-		e.answerStanding(w, j, answer)
+		e.answerExistingClaim(w, j, answer)
 		return
 	}
 	res := e.tryWithinQuota(ctx, j)
 	if res.why != nil {
-		e.keepFailure(j, attempt, digest, res.why)
-		e.giveUp(w, j, res)
+		e.recordClaimFailure(j, attempt, digest, res.why)
+		e.refuseJob(w, j, res)
 		return
 	}
-	e.opts.Claims.Record(j.key, attempt, digest, resultOf(res.answer))
-	e.pass(ctx, w, j, res)
+	e.opts.Claims.Record(j.key, attempt, digest, newClaimResult(res.response))
+	e.writeResponse(ctx, w, j, res)
 }
 
-// keepFailure releases the key if the call did not run, else records that its end is unknown. One that is kept from
-// servers did not run under this key: under one by which it had, it would not have come so far.
-func (e *Entry) keepFailure(j *job, attempt string, digest []byte, why *reason.Reason) {
+// recordClaimFailure releases the claim if the call did not run, and otherwise records that its
+// outcome is unknown. A call blocked as a crasher has not run under this key: had an earlier call with
+// the key run, its claim would have stopped this one earlier.
+func (e *Entry) recordClaimFailure(j *job, attempt string, digest []byte, why *reason.Reason) {
 	if why.Outcome == reason.NotRun || why == reason.CrashesServers {
 		e.opts.Claims.Release(j.key, attempt)
 		return
@@ -91,62 +93,62 @@
 	e.opts.Claims.Record(j.key, attempt, digest, &claim.Result{Outcome: string(why.Outcome)})
 }
 
-// resultOf is what is kept of an answer.
-func resultOf(a *proxy.Response) *claim.Result {
-	if a.BodyReader != nil {
-		return &claim.Result{Outcome: keyed.OutcomeTooLarge, Status: a.Status}
+// newClaimResult returns the result to store for a response. Responses that were not buffered are too
+// large to store.
+func newClaimResult(response *proxy.Response) *claim.Result {
+	if response.BodyReader != nil {
+		return &claim.Result{Outcome: keyed.OutcomeTooLarge, Status: response.Status}
 	}
 	var header bytes.Buffer
-	if err := a.Header.Write(&header); err != nil {
-		return &claim.Result{Outcome: keyed.OutcomeTooLarge, Status: a.Status}
+	if err := response.Header.Write(&header); err != nil {
+		return &claim.Result{Outcome: keyed.OutcomeTooLarge, Status: response.Status}
 	}
-	return &claim.Result{Outcome: string(reason.Done), Status: a.Status, Header: header.Bytes(), Body: a.Body}
+	return &claim.Result{Outcome: string(reason.Done), Status: response.Status, Header: header.Bytes(), Body: response.Body}
 }
 
-// answerStanding answers a call whose key is held by another attempt.
-func (e *Entry) answerStanding(w http.ResponseWriter, j *job, a claim.Answer) {
-	why := e.standingReason(j, a)
+// answerExistingClaim answers a call whose key is claimed by another attempt.
+func (e *Entry) answerExistingClaim(w http.ResponseWriter, j *job, existing claim.Answer) {
+	why := e.existingClaimReason(j, existing)
 	if why != nil {
-		e.giveUp(w, j, result{why: why})
+		e.refuseJob(w, j, result{why: why})
 		return
 	}
-	kept, err := keptAnswer(a.Conflict.Result)
+	stored, err := storedResponse(existing.Conflict.Result)
 	if err != nil {
-		e.giveUp(w, j, result{why: reason.KeyUnknown, detail: err.Error()})
+		e.refuseJob(w, j, result{why: reason.KeyUnknown, detail: err.Error()})
 		return
 	}
 	w.Header().Set(HeaderReplayed, "true")
-	outcome := setHead(w, j, kept)
-	// A caller that has gone does not read its answer.
-	_, _ = w.Write(kept.Body)
-	e.finished(j, string(outcome), "the answer kept under its key")
+	outcome := writeHeader(w, j, stored)
+	// The error is ignored: a caller that hung up needs no answer.
+	_, _ = w.Write(stored.Body)
+	e.finish(j, string(outcome), "replayed the response stored for its key")
 }
 
-// standingReason says why a call gets no answer, nil when the kept one is to be
-// given.
-func (e *Entry) standingReason(j *job, a claim.Answer) *reason.Reason {
+// existingClaimReason returns why a call is refused, or nil if the stored response is to be replayed.
+func (e *Entry) existingClaimReason(j *job, existing claim.Answer) *reason.Reason {
 	switch {
-	case a.Verdict == claim.OtherCall:
+	case existing.Verdict == claim.OtherCall:
 		return reason.KeyMismatch
-	case a.Verdict != claim.Taken || a.Conflict == nil:
+	case existing.Verdict != claim.Taken || existing.Conflict == nil:
 		return reason.NoClaim
-	case a.Conflict.Result == nil && e.opts.Claims.AgeOf(a.Conflict) < j.target.Class.Deadline+runningSlack:
+	case existing.Conflict.Result == nil && e.opts.Claims.AgeOf(existing.Conflict) < j.target.Class.Deadline+runningGrace:
 		return reason.KeyInProgress
-	case a.Conflict.Result == nil || a.Conflict.Result.Outcome == string(reason.Unknown):
+	case existing.Conflict.Result == nil || existing.Conflict.Result.Outcome == string(reason.Unknown):
 		return reason.KeyUnknown
-	case a.Conflict.Result.Outcome == keyed.OutcomeTooLarge:
+	case existing.Conflict.Result.Outcome == keyed.OutcomeTooLarge:
 		return reason.KeyDone
 	}
 	return nil
 }
 
-var errKept = errors.New("the kept answer cannot be read")
+var errStoredResponse = errors.New("cannot parse the stored response")
 
-func keptAnswer(r *claim.Result) (*proxy.Response, error) {
+func storedResponse(r *claim.Result) (*proxy.Response, error) {
 	lines := textproto.NewReader(bufio.NewReader(io.MultiReader(bytes.NewReader(r.Header), strings.NewReader("\r\n"))))
 	header, err := lines.ReadMIMEHeader()
 	if err != nil {
-		return nil, errors.Join(errKept, err)
+		return nil, errors.Join(errStoredResponse, err)
 	}
 	return &proxy.Response{Status: r.Status, Header: http.Header(header), Body: r.Body}, nil
 }
--- a/entry/latency.go
+++ b/entry/latency.go
@@ -13,104 +13,106 @@
 )
 
 const (
-	// patienceFactor is how many times the usual time an attempt may take, and
-	// patienceDeviations how many of the usual deviations beyond it.
-	patienceFactor     = 4
-	patienceDeviations = 8
-	// minPatience keeps short answers from being given up for a hiccup.
-	minPatience = 50 * time.Millisecond
-	// patienceWeight is the weight of the newest answer in the usual time.
-	patienceWeight = 0.05
+	// An attempt times out after timeoutFactor times the mean duration, or timeoutDeviations mean
+	// deviations above the mean, whichever is longer.
+	timeoutFactor     = 4
+	timeoutDeviations = 8
+	// minTimeout keeps short requests from being abandoned because of a brief hiccup.
+	minTimeout = 50 * time.Millisecond
+	// latencyWeight is the weight of the newest response in the moving averages.
+	latencyWeight = 0.05
 )
 
-var errSlow = errors.New("the backend server takes far longer than usual")
+var errSlow = errors.New("the backend server took far longer than usual")
 
-// kindOfCall groups calls that usually take about the same time to begin to be
-// answered.
-type kindOfCall struct {
+// callKind groups calls with a similar time to the beginning of the response.
+type callKind struct {
 	target, method string
-	// size is the length in bits of what the time grows with: of the tokens asked
-	// for, or of a service call's body; a stream begins with its first token.
+	// size is the bit length of the quantity that the duration grows with: the requested tokens, or
+	// the length of a service call's body. Streams leave it 0, because they begin with their first
+	// token.
 	size int
 }
 
-// kindOfService returns the kind of a service call. Methods beyond the common ones
-// are one kind: callers choose the word, and must not fill a box's memory with it.
-func kindOfService(name, method string, bodyLength int) kindOfCall {
+// serviceCallKind returns the kind of a service call. All uncommon methods are one kind: callers
+// choose the method and could otherwise fill the box's memory with kinds.
+func serviceCallKind(name, method string, bodyLength int) callKind {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions:
 	default:
 		method = ""
 	}
-	return kindOfCall{"/" + name, method, bits.Len(uint(bodyLength))}
+	return callKind{"/" + name, method, bits.Len(uint(bodyLength))}
 }
 
-// usual is how long a kind of call takes.
-type usual struct{ mean, deviation time.Duration }
+// latencyEstimate holds moving averages of a kind's latency.
+type latencyEstimate struct{ mean, deviation time.Duration }
 
-// patience knows how long answers of each kind usually take to begin. An
-// attempt that takes far longer is given up, once a request, while there is time
-// to ask another server. Given up attempts count with the time that they had, so
-// that patience grows when all servers are slow.
-type patience struct {
-	mu   sync.Mutex
-	kind map[kindOfCall]*usual
+// latencyTracker estimates the time to the beginning of the response per kind of call. An attempt that
+// takes far longer is abandoned, once per request, while there is time to try another server.
+// Abandoned attempts count with the time that they took, so that the timeouts grow when all servers
+// are slow.
+type latencyTracker struct {
+	mu        sync.Mutex
+	estimates map[callKind]*latencyEstimate
 }
 
-func newPatience() *patience { return &patience{kind: map[kindOfCall]*usual{}} }
+func newLatencyTracker() *latencyTracker {
+	return &latencyTracker{estimates: map[callKind]*latencyEstimate{}}
+}
 
-// limit returns how long an attempt may take, 0 when nothing is known.
-func (p *patience) limit(k kindOfCall) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	u := p.kind[k]
-	if u == nil {
+// timeout returns how long an attempt may take, 0 if there is no estimate.
+func (t *latencyTracker) timeout(k callKind) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	estimate := t.estimates[k]
+	if estimate == nil {
 		return 0
 	}
-	return max(patienceFactor*u.mean, u.mean+patienceDeviations*u.deviation, minPatience)
+	return max(timeoutFactor*estimate.mean, estimate.mean+timeoutDeviations*estimate.deviation, minTimeout)
 }
 
-func (p *patience) learn(k kindOfCall, took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	u := p.kind[k]
-	if u == nil {
-		p.kind[k] = &usual{mean: took}
+func (t *latencyTracker) record(k callKind, took time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	estimate := t.estimates[k]
+	if estimate == nil {
+		t.estimates[k] = &latencyEstimate{mean: took}
 		return
 	}
-	off := took - u.mean
-	u.mean += time.Duration(patienceWeight * float64(off))
-	u.deviation += time.Duration(patienceWeight * float64(off.Abs()-u.deviation))
+	off := took - estimate.mean
+	estimate.mean += time.Duration(latencyWeight * float64(off))
+	estimate.deviation += time.Duration(latencyWeight * float64(off.Abs()-estimate.deviation))
 }
 
-// sendPatiently makes an attempt, and gives it up when it takes too long and
-// another one is allowed and would have the usual time.
-func (e *Entry) sendPatiently(ctx context.Context, j *job, a *proxy.Attempt) (*proxy.Response, *proxy.Failure) {
-	began := time.Now()
-	limit := e.patience.limit(j.kind)
-	may := limit > 0 && j.repeatable && j.tries == 1 && len(j.target.Backends) > 1
-	if !may || began.Add(limit+limit/patienceFactor).After(j.deadline()) {
-		answer, failure := e.opts.Sender.Send(ctx, a)
+// sendWithTimeout sends an attempt. It abandons the attempt if it takes too long, provided that a
+// retry is permitted and would have the usual time left.
+func (e *Entry) sendWithTimeout(ctx context.Context, j *job, a *proxy.Attempt) (*proxy.Response, *proxy.Failure) {
+	startedAt := time.Now()
+	timeout := e.latencies.timeout(j.kind)
+	canGiveUp := timeout > 0 && j.repeatable && j.attempts == 1 && len(j.target.Backends) > 1
+	if !canGiveUp || startedAt.Add(timeout+timeout/timeoutFactor).After(j.deadline()) {
+		response, failure := e.opts.Sender.Send(ctx, a)
 		if failure == nil {
-			e.patience.learn(j.kind, time.Since(began))
+			e.latencies.record(j.kind, time.Since(startedAt))
 		}
-		return answer, failure
+		return response, failure
 	}
-	// The answer's body is read under the same context, so its end is not a
-	// deadline but a call that is called off once the answer has begun.
+	// The response body is read under the same context, so this is a cancellation that stops applying
+	// once the response begins, not a deadline.
 	ctx, giveUp := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(limit, func() {
-		if e.budget.left() {
+	timer := time.AfterFunc(timeout, func() {
+		if e.budget.hasToken() {
 			giveUp(errSlow)
 		}
 	})
-	answer, failure := e.opts.Sender.Send(ctx, a)
+	response, failure := e.opts.Sender.Send(ctx, a)
 	timer.Stop()
 	if failure != nil && errors.Is(context.Cause(ctx), errSlow) {
 		failure = &proxy.Failure{Outcome: reason.Unknown, Reason: reason.BackendLate, Cause: errSlow}
 	}
 	if failure == nil || errors.Is(failure.Cause, errSlow) {
-		e.patience.learn(j.kind, time.Since(began))
+		e.latencies.record(j.kind, time.Since(startedAt))
 	}
-	return answer, failure
+	return response, failure
 }
--- a/entry/latency_test.go
+++ b/entry/latency_test.go
@@ -9,14 +9,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestPatienceIsBounded: a caller may send any word as a method, and any length;
-// neither may make a box remember ever more kinds of calls.
-func TestPatienceIsBounded(t *testing.T) {
-	p := newPatience()
+// Guards against unbounded memory: a caller may send any method name and any body length, and neither
+// may add kinds of calls without limit.
+func TestCallKindsAreBounded(t *testing.T) {
+	p := newLatencyTracker()
 	for i := range 10_000 {
-		p.learn(kindOfService("shop", fmt.Sprint("METHOD", i), i), time.Millisecond)
+		p.record(serviceCallKind("shop", fmt.Sprint("METHOD", i), i), time.Millisecond)
 	}
 	g := NewWithT(t)
-	g.Expect(len(p.kind)).To(BeNumerically("<", 20))
-	g.Expect(kindOfService("shop", http.MethodGet, 1)).NotTo(Equal(kindOfService("shop", http.MethodPost, 1)))
+	g.Expect(len(p.estimates)).To(BeNumerically("<", 20))
+	g.Expect(serviceCallKind("shop", http.MethodGet, 1)).NotTo(Equal(serviceCallKind("shop", http.MethodPost, 1)))
 }
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -28,23 +28,24 @@
 	"leverdrum/wire"
 )
 
-// limitedBoxes are entry boxes before a service's instances, with what they agree on and the allocator of one that leads.
+// limitedBoxes is a set of entry boxes in front of a service's instances, with their replicated state
+// and one lessor that acts for the leader.
 type limitedBoxes struct {
-	agreed    agreedHere
+	state     localState
 	boxes     []*httptest.Server
 	instances []*standin.Service
 }
 
-// tell has a limit agreed.
-func (l *limitedBoxes) tell(server string, limit dialect.Limit) {
-	l.agreed.mu.Lock()
-	defer l.agreed.mu.Unlock()
-	next := l.agreed.view.Load().Clone()
+// setLimit sets a server's limit in the replicated state.
+func (l *limitedBoxes) setLimit(server string, limit dialect.Limit) {
+	l.state.mu.Lock()
+	defer l.state.mu.Unlock()
+	next := l.state.view.Load().Clone()
 	next.Limits[server] = &wire.ServerLimit{Server: server, Milli: uint32(limit)}
 	if limit == 0 {
 		delete(next.Limits, server)
 	}
-	l.agreed.view.Store(next)
+	l.state.view.Store(next)
 }
 
 func newLimitedBoxes(t *testing.T, boxes, instances int) *limitedBoxes {
@@ -52,22 +53,22 @@
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 2s\n[service shop]\nclass = c\n"
 	for i := range instances {
 		s := standin.NewService("shop", "Idempotency-Key", time.Millisecond)
-		at := httptest.NewServer(s)
-		t.Cleanup(at.Close)
+		server := httptest.NewServer(s)
+		t.Cleanup(server.Close)
 		l.instances = append(l.instances, s)
-		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, at.Listener.Addr())
+		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, server.Listener.Addr())
 	}
 	st, err := standin.Agreed(text)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	l.agreed.view.Store(st)
+	l.state.view.Store(st)
 	lessor := rate.NewLessor("p", clock.New().Now)
 	for i := range boxes {
-		l.boxes = append(l.boxes, l.box(t, fmt.Sprint("box", i), lessor, boxes, st))
+		l.boxes = append(l.boxes, l.newBox(t, fmt.Sprint("box", i), lessor, boxes, st))
 	}
 	return l
 }
 
-func (l *limitedBoxes) box(t *testing.T, name string, lessor *rate.Lessor, boxes int, st *state.State) *httptest.Server {
+func (l *limitedBoxes) newBox(t *testing.T, name string, lessor *rate.Lessor, boxes int, st *state.State) *httptest.Server {
 	limiter := rate.NewLimiter(rate.Options{
 		Now: clock.New().Now, Window: 4 * time.Second, Boxes: func() int { return boxes },
 		Lease: func(_ context.Context, epoch string, asks []rate.LimitRequest) (rate.LeaseResponse, error) {
@@ -80,25 +81,26 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go limiter.Run(ctx)
-	limits := throttle.New(throttle.Options{Limiter: limiter, View: l.agreed.view.Load, ReportLimit: l.tell, Meters: meter.New(), Log: zap.NewNop()})
+	limits := throttle.New(throttle.Options{Limiter: limiter, View: l.state.view.Load, ReportLimit: l.setLimit, Meters: meter.New(), Log: zap.NewNop()})
 	d := route.NewDirectory("a")
-	said := pushback.New(pushback.Options{Now: clock.New().Now, Throttle: limits, Boxes: func() int { return boxes }, Log: zap.NewNop()})
-	d.SetPushback(said)
+	registry := pushback.New(pushback.Options{Now: clock.New().Now, Throttle: limits, Boxes: func() int { return boxes }, Log: zap.NewNop()})
+	d.SetPushback(registry)
 	d.Update(st)
 	box := httptest.NewServer(entry.New(entry.Options{
-		Directory: d, View: l.agreed.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
-		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1000, Pushback: said,
+		Directory: d, View: l.state.view.Load, Current: func() bool { return true }, Sender: proxy.NewSender(),
+		Meters: meter.New(), Records: record.NewBook(100), MaxBody: 1000, Pushback: registry,
 	}))
 	t.Cleanup(box.Close)
 	return box
 }
 
-// ask calls the service through the boxes in turn, so many times a second, and returns the refusals.
-func (l *limitedBoxes) ask(t *testing.T, perSecond int, span time.Duration) (asked int, refused []*http.Response) {
+// sendCalls calls the service through the boxes in turn at the given rate. It returns the number of
+// calls and the refusals.
+func (l *limitedBoxes) sendCalls(t *testing.T, perSecond int, span time.Duration) (sent int, refused []*http.Response) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for began := time.Now(); time.Since(began) < span; asked++ {
-		at := l.boxes[asked%len(l.boxes)].URL
+	for began := time.Now(); time.Since(began) < span; sent++ {
+		at := l.boxes[sent%len(l.boxes)].URL
 		wg.Go(func() {
 			resp, err := http.Post(at+"/services/shop/x", "text/plain", nil)
 			if err != nil {
@@ -115,54 +117,56 @@
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 	wg.Wait()
-	return asked, refused
+	return sent, refused
 }
 
-// mostIn4s is the most that came in a window of 4 s, since a time.
-func mostIn4s(came []time.Time, since time.Time) (most int) {
-	for i, first := range came {
+// maxIn4s returns the maximum number of arrivals in any window of 4 s that begins after since.
+func maxIn4s(arrivals []time.Time, since time.Time) (maxCalls int) {
+	for i, first := range arrivals {
 		n := 0
-		for _, at := range came[i:] {
+		for _, at := range arrivals[i:] {
 			if at.Sub(first) < 4*time.Second {
 				n++
 			}
 		}
 		if first.After(since) {
-			most = max(most, n)
+			maxCalls = max(maxCalls, n)
 		}
 	}
-	return most
+	return maxCalls
 }
 
-// The product's own interface holds to what instances name, over all boxes, and work goes to the others.
-func TestAnInstanceGetsNoMoreThanItsLimit(t *testing.T) {
+// Guards the limit that an instance reports: all boxes together must stay within it and send the other
+// calls to the other instances.
+func TestInstanceLimitIsHonored(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 4, 2)
 	l.instances[0].Set(standin.Faults{Limit: "1"})
-	named := time.Now()
-	asked, refused := l.ask(t, 30, 7*time.Second)
-	most := mostIn4s(l.instances[0].Came(), named.Add(time.Second))
-	t.Logf("%d calls, at most %d in 4 s at a limit of 1 a second", asked, most)
-	g.Expect(most).To(BeNumerically("<=", 11))
-	g.Expect(refused).To(BeEmpty(), "the other instance has room")
+	limitSetAt := time.Now()
+	sent, refused := l.sendCalls(t, 30, 7*time.Second)
+	maxCalls := maxIn4s(l.instances[0].Came(), limitSetAt.Add(time.Second))
+	t.Logf("%d calls, at most %d within 4 s at a limit of 1 per second", sent, maxCalls)
+	g.Expect(maxCalls).To(BeNumerically("<=", 11))
+	g.Expect(refused).To(BeEmpty(), "the other instance has capacity")
 
 	l.instances[0].Set(standin.Faults{})
-	l.ask(t, 30, 8*time.Second)
-	ended := len(l.instances[0].Came())
-	l.ask(t, 30, 2*time.Second)
-	g.Expect(len(l.instances[0].Came())-ended).To(BeNumerically(">", 15), "the limit has ended")
+	l.sendCalls(t, 30, 8*time.Second)
+	afterLimit := len(l.instances[0].Came())
+	l.sendCalls(t, 30, 2*time.Second)
+	g.Expect(len(l.instances[0].Came())-afterLimit).To(BeNumerically(">", 15), "the limit has ended")
 }
 
-// What no instance takes is refused at once and in true words, with a time to come back.
-func TestCallsBeyondALimitAreRefusedAtOnce(t *testing.T) {
+// Guards against calls that wait although no instance can take them: they must be refused immediately
+// as not run, with a retry delay.
+func TestCallsBeyondLimitAreRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 3, 1)
 	l.instances[0].Set(standin.Faults{Limit: "2"})
-	named := time.Now()
-	asked, refused := l.ask(t, 30, 6*time.Second)
-	g.Expect(mostIn4s(l.instances[0].Came(), named.Add(time.Second))).To(BeNumerically("<=", 17))
-	g.Expect(asked-len(refused)).To(BeNumerically(">=", 8), "what it takes is used")
-	g.Expect(len(refused)).To(BeNumerically(">", asked/2))
+	limitSetAt := time.Now()
+	sent, refused := l.sendCalls(t, 30, 6*time.Second)
+	g.Expect(maxIn4s(l.instances[0].Came(), limitSetAt.Add(time.Second))).To(BeNumerically("<=", 17))
+	g.Expect(sent-len(refused)).To(BeNumerically(">=", 8), "the instance's limit is used up")
+	g.Expect(len(refused)).To(BeNumerically(">", sent/2))
 	for _, r := range refused {
 		g.Expect(r.StatusCode).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(r.Header.Get(entry.HeaderReason)).To(Equal("servers-limited"))
--- a/entry/pushback.go
+++ b/entry/pushback.go
@@ -13,77 +13,82 @@
 	"leverdrum/workspace"
 )
 
-// classRanks is how many steps of priority of a class are told apart where servers' limits are scarce, below
-// the urgency of a workspace.
-const classRanks = 4
+// priorityLevels is the number of class priorities that are distinguished, below the workspace's
+// urgency, when servers are at their limits.
+const priorityLevels = 4
 
-// rankOf is the urgency of a request, 0 the highest: its workspace's, then its class's.
+// rankOf returns the rank of a request, 0 the most urgent. The workspace's urgency counts first, then
+// the class's priority.
 func rankOf(owner *workspace.Workspace, t *route.Target) int {
-	class := min(max(classRanks-1-t.Class.Priority, 0), classRanks-1)
-	return urgencyOf(owner)*classRanks + class
+	class := min(max(priorityLevels-1-t.Class.Priority, 0), priorityLevels-1)
+	return urgencyOf(owner)*priorityLevels + class
 }
 
-// enter takes a place at a backend that takes the attempt now. One at its limit, or at rest, is skipped.
-func (e *Entry) enter(ctx context.Context, j *job) (*route.Backend, *reason.Reason) {
+// acquireBackend acquires a slot at a backend that accepts the attempt now. Backends at their limit or
+// in backoff are skipped.
+func (e *Entry) acquireBackend(ctx context.Context, j *job) (*route.Backend, *reason.Reason) {
 	for {
-		b, why := e.gate.Acquire(ctx, j.ticket)
+		b, why := e.admission.Acquire(ctx, j.admission)
 		if why == reason.NoServer {
-			return nil, e.blockedBy(j)
+			return nil, e.blockReason(j)
 		}
 		if why != nil {
 			return nil, why
 		}
-		permit, block := e.opts.Pushback.Acquire(ctx, b.Name, j.ticket.Rank)
+		permit, block := e.opts.Pushback.Acquire(ctx, b.Name, j.admission.Rank)
 		if block == nil {
 			j.permit = permit
 			return b, nil
 		}
-		e.gate.Release(b, j.ticket, 0)
-		j.takenAfter = block.RetryAfter
+		e.admission.Release(b, j.admission, 0)
+		j.retryAfter = block.RetryAfter
 		if ctx.Err() != nil {
 			return nil, block.Reason
 		}
 	}
 }
 
-// blockedBy says why no backend takes the request: where some are at their limits or rest, what ends first of that.
-func (e *Entry) blockedBy(j *job) *reason.Reason {
+// blockReason returns why no backend accepts the request. If some are at their limits or in backoff,
+// it returns the reason that ends first.
+func (e *Entry) blockReason(j *job) *reason.Reason {
 	why := reason.NoServer
 	for _, b := range j.target.Backends {
-		block, blocked := e.opts.Directory.Blocked(b, j.ticket.Rank)
-		if blocked && (why == reason.NoServer || block.RetryAfter < j.takenAfter) {
-			why, j.takenAfter = block.Reason, block.RetryAfter
+		block, blocked := e.opts.Directory.Blocked(b, j.admission.Rank)
+		if blocked && (why == reason.NoServer || block.RetryAfter < j.retryAfter) {
+			why, j.retryAfter = block.Reason, block.RetryAfter
 		}
 	}
 	return why
 }
 
-// refusedFor is a refusal before anything was sent. Callers that one limit or rest refuses come back apart from each other.
-func refusedFor(j *job, why *reason.Reason) result {
+// newRefusal returns the result of a request refused before any attempt. Retry delays due to a limit
+// or backoff are spread at random, so that callers do not return at the same time.
+func newRefusal(j *job, why *reason.Reason) result {
 	if why != reason.ServersLimited && why != reason.ServersResting {
 		return result{why: why}
 	}
-	return result{why: why, after: j.takenAfter + time.Duration(rand.Int64N(int64(time.Second)))}
+	return result{why: why, retryAfter: j.retryAfter + time.Duration(rand.Int64N(int64(time.Second)))}
 }
 
-// observe records what an answer says of its backend, and gives back the permit of an attempt that was not sent. It reports
-// whether the backend asked for rest: that is no failure.
-func (e *Entry) observe(j *job, b *route.Backend, answer *proxy.Response, failure *proxy.Failure) (rests bool) {
+// observe records what a response reports about its backend, and releases the permit of an attempt
+// that was not sent. It reports whether the backend asked for a backoff, which does not count as a
+// failure.
+func (e *Entry) observe(j *job, b *route.Backend, response *proxy.Response, failure *proxy.Failure) (backoff bool) {
 	switch {
-	case answer != nil:
-		said := dialect.Native.ReadReport(answer.Status, answer.Header, time.Now())
-		said.FromServer = true
-		e.opts.Pushback.Observe(b.Name, j.id, said)
-		rests = said.Backoff > 0
+	case response != nil:
+		report := dialect.Native.ReadReport(response.Status, response.Header, time.Now())
+		report.FromServer = true
+		e.opts.Pushback.Observe(b.Name, j.id, report)
+		backoff = report.Backoff > 0
 	case failure.Header != nil:
-		said := dialect.Native.ReadReport(failure.Status, failure.Header, time.Now())
-		said.FromServer = false
-		e.opts.Pushback.Observe(b.Name, j.id, said)
-		rests = said.Backoff > 0
+		report := dialect.Native.ReadReport(failure.Status, failure.Header, time.Now())
+		report.FromServer = false
+		e.opts.Pushback.Observe(b.Name, j.id, report)
+		backoff = report.Backoff > 0
 	}
 	if failure != nil && (failure.Reason == reason.NotReached || failure.Reason == reason.ServersResting) {
 		j.permit.Release()
 	}
 	j.permit = pushback.Permit{}
-	return rests || failure != nil && failure.Reason == reason.ServersResting
+	return backoff || failure != nil && failure.Reason == reason.ServersResting
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -24,63 +24,63 @@
 	"leverdrum/workspace"
 )
 
-// HeaderDeadline tells a backend server how many milliseconds are left.
+// HeaderDeadline tells a backend server how many milliseconds remain.
 const HeaderDeadline = "X-Deadline-Ms"
 
-// maxTries bounds the attempts of one request.
-const maxTries = 3
+// maxAttempts bounds the attempts of one request.
+const maxAttempts = 3
 
-// job is one request on its way.
+// job is the state of a request being served.
 type job struct {
-	id         string
-	arrived    time.Time
-	owner      *workspace.Workspace // whose request it is; nil: nobody's
-	usage      workspace.Usage
-	target     *route.Target
-	repeatable bool
-	key        string // of a call that may run at most once; "" without one
-	attempt    proxy.Attempt
-	ticket     *admit.Request
-	kind       kindOfCall
-	stream     bool                // the caller asked for one
-	session    uint64              // hash of the session, 0 for none
-	tries      int                 // attempts so far
-	firstLate  bool                // the stream's first event came too late
-	printed    crasher.Fingerprint // once asked for
-	breaks     int                 // attempts at whose end their servers may have ended
-	sentAt     time.Time           // of the newest attempt
-	permit     pushback.Permit     // of that attempt
-	takenAfter time.Duration       // until a backend takes it, where limits or rests refused it
-	rested     bool                // the newest attempt's backend asked for rest
-	firstAt    time.Time           // of its first event; zero: none has come
-	// suspects are backends whose failed answers are not yet held against them.
+	id             string
+	receivedAt     time.Time
+	owner          *workspace.Workspace // nil: no workspace
+	usage          workspace.Usage
+	target         *route.Target
+	repeatable     bool
+	key            string // of a call that may run at most once; "" if it has none
+	attempt        proxy.Attempt
+	admission      *admit.Request
+	kind           callKind
+	stream         bool                // the caller asked for a stream
+	session        uint64              // hash of the session, 0 for none
+	attempts       int                 // attempts made so far
+	firstEventLate bool                // the stream's first event came after its deadline
+	fingerprint    crasher.Fingerprint // zero until first needed
+	brokenAttempts int                 // attempts whose servers may have terminated
+	sentAt         time.Time           // when the newest attempt was sent
+	permit         pushback.Permit     // permit of the newest attempt
+	retryAfter     time.Duration       // until a backend accepts it, if limits or backoffs refused it
+	inBackoff      bool                // the newest attempt's backend asked for a backoff
+	firstEventAt   time.Time           // first event of the newest attempt; zero: none yet
+	// suspects are backends whose failed responses are not yet counted against them.
 	suspects []*route.Backend
-	// slow is the backend whose attempt was given up as slow; nil: none, or it may be tried again.
+	// slow is the backend whose attempt was abandoned as slow; nil if there is none or it may be tried
+	// again.
 	slow *route.Backend
 }
 
 func (j *job) class() string { return j.target.Class.Name }
 
-func (j *job) deadline() time.Time { return j.arrived.Add(j.target.Class.Deadline) }
+func (j *job) deadline() time.Time { return j.receivedAt.Add(j.target.Class.Deadline) }
 
-// result is how a job ended: with an answer or with a reason. Backend is the one
-// whose place is still held, nil for none.
+// result is the result of a job: a response, or the reason for its failure. backend is the one whose
+// slot is still occupied, nil for none.
 type result struct {
-	answer  *proxy.Response
-	backend *route.Backend
-	why     *reason.Reason
-	detail  string
-	after   time.Duration // when to come back, where it is not the reason's own time
+	response   *proxy.Response
+	backend    *route.Backend
+	why        *reason.Reason
+	detail     string
+	retryAfter time.Duration // retry delay, if it differs from the reason's own
 }
 
-// serve sends the request until it has an answer or must be given up, and
-// answers the caller.
+// serve sends the request until it has a response or must be abandoned, and answers the caller.
 func (e *Entry) serve(w http.ResponseWriter, r *http.Request, j *job) {
 	ctx, cancel := context.WithDeadline(r.Context(), j.deadline())
 	defer cancel()
-	j.ticket = &admit.Request{Target: j.target, Caller: callerOf(r, j.owner), Urgency: urgencyOf(j.owner), Deadline: j.deadline(), Criteria: route.Criteria{Rank: rankOf(j.owner, j.target), Session: j.session}}
+	j.admission = &admit.Request{Target: j.target, Caller: callerOf(r, j.owner), Urgency: urgencyOf(j.owner), Deadline: j.deadline(), Criteria: route.Criteria{Rank: rankOf(j.owner, j.target), Session: j.session}}
 	if first := j.target.Class.FirstToken; j.stream && first > 0 {
-		j.ticket.FirstEventDeadline = j.arrived.Add(first)
+		j.admission.FirstEventDeadline = j.receivedAt.Add(first)
 	}
 	if j.key != "" {
 		e.serveKeyed(w, r, j)
@@ -88,24 +88,24 @@
 	}
 	res := e.tryWithinQuota(ctx, j)
 	if res.why == nil {
-		e.pass(ctx, w, j, res)
+		e.writeResponse(ctx, w, j, res)
 		return
 	}
 	if r.Context().Err() != nil {
-		e.finished(j, "caller-gone", "the caller hung up")
+		e.finish(j, "caller-gone", "the caller hung up")
 		return
 	}
-	e.giveUp(w, j, res)
+	e.refuseJob(w, j, res)
 }
 
-func (e *Entry) giveUp(w http.ResponseWriter, j *job, res result) {
-	e.noteDemand(j.target, 0)
-	e.finished(j, string(res.why.Outcome), res.detail)
-	e.refuseFor(w, j.id, res.why, res.detail, cmp.Or(res.after, res.why.RetryAfter))
+func (e *Entry) refuseJob(w http.ResponseWriter, j *job, res result) {
+	e.recordDemand(j.target, 0)
+	e.finish(j, string(res.why.Outcome), res.detail)
+	e.refuseFor(w, j.id, res.why, res.detail, cmp.Or(res.retryAfter, res.why.RetryAfter))
 }
 
-// callerOf names the caller for fair shares: the workspace, where there is one, since a key cannot
-// be made up as a name can.
+// callerOf returns the caller's name for fair sharing. It is the workspace's name where there is one,
+// because a key cannot be forged as a caller's name can.
 func callerOf(r *http.Request, owner *workspace.Workspace) string {
 	if owner != nil {
 		return owner.Name
@@ -117,44 +117,44 @@
 	return host
 }
 
-// try makes the attempts.
-func (e *Entry) try(ctx context.Context, j *job) result {
-	e.budget.first()
+// runAttempts makes attempts until one succeeds or no retry is permitted.
+func (e *Entry) runAttempts(ctx context.Context, j *job) result {
+	e.budget.addRequest()
 	last := result{}
-	for j.tries < maxTries {
-		if e.held(j) {
+	for j.attempts < maxAttempts {
+		if e.blocked(j) {
 			return result{why: reason.CrashesServers}
 		}
-		b, why := e.enter(ctx, j)
+		b, why := e.acquireBackend(ctx, j)
 		if why != nil && j.retrySlow() {
 			continue
 		}
-		if why != nil && j.tries > 0 {
-			return last // the failure of the attempt before tells more
+		if why != nil && j.attempts > 0 {
+			return last // the previous attempt's failure is more informative
 		}
 		if why != nil {
-			return refusedFor(j, why)
+			return newRefusal(j, why)
 		}
-		answer, failure := e.attempt(ctx, j, b)
-		j.ticket.Tried = append(j.ticket.Tried, b)
+		response, failure := e.attempt(ctx, j, b)
+		j.admission.Tried = append(j.admission.Tried, b)
 		if failure != nil && errors.Is(failure.Cause, errSlow) {
 			j.slow = b
-		} else if len(j.ticket.Tried) >= len(j.target.Backends) {
+		} else if len(j.admission.Tried) >= len(j.target.Backends) {
 			j.retrySlow()
 		}
-		if failure == nil && (!failed(answer) || !e.mayRetry(ctx, j, failedAnswer(answer))) {
-			e.settle(j, b, answer)
-			return result{answer: answer, backend: b}
+		if failure == nil && (!failed(response) || !e.mayRetry(ctx, j, responseFailure(response))) {
+			e.recordOutcome(j, b, response)
+			return result{response: response, backend: b}
 		}
-		e.gate.Release(b, j.ticket, 0)
-		if failure == nil { // it is given to the caller if the next attempt gives none
-			if !j.rested {
+		e.admission.Release(b, j.admission, 0)
+		if failure == nil { // returned to the caller if the next attempt yields no response
+			if !j.inBackoff {
 				j.suspects = append(j.suspects, b)
 			}
-			last = result{answer: answer}
+			last = result{response: response}
 			continue
 		}
-		last = last.and(result{why: failure.Reason, detail: failure.Cause.Error()})
+		last = last.merge(result{why: failure.Reason, detail: failure.Cause.Error()})
 		if !e.mayRetry(ctx, j, failure) {
 			return last
 		}
@@ -162,78 +162,77 @@
 	return last
 }
 
-// retrySlow lets a backend that was only slow be tried again, once, where no other is left. It reports whether
-// there is one.
+// retrySlow permits one more attempt at a backend that was only slow, when no other is left. It
+// reports whether there is such a backend.
 func (j *job) retrySlow() bool {
 	if j.slow == nil {
 		return false
 	}
-	j.ticket.Tried = slices.DeleteFunc(j.ticket.Tried, func(b *route.Backend) bool { return b == j.slow })
+	j.admission.Tried = slices.DeleteFunc(j.admission.Tried, func(b *route.Backend) bool { return b == j.slow })
 	j.slow = nil
 	return true
 }
 
-// and returns what is to be said after one more attempt: that it did not run
-// says nothing of an earlier one that did or may have.
-func (r result) and(next result) result {
-	mayHaveRun := r.answer != nil || r.why != nil && r.why.Outcome != reason.NotRun
+// merge returns the result to report after one more attempt. An attempt that did not run does not
+// replace the result of an earlier one that ran or may have run.
+func (r result) merge(next result) result {
+	mayHaveRun := r.response != nil || r.why != nil && r.why.Outcome != reason.NotRun
 	if mayHaveRun && next.why.Outcome == reason.NotRun {
 		return r
 	}
 	return next
 }
 
-// failed reports whether an answer says that the backend failed at the request.
-func failed(a *proxy.Response) bool {
-	switch a.Status {
+// failed reports whether a response shows that the backend failed to serve the request.
+func failed(response *proxy.Response) bool {
+	switch response.Status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return a.BodyReader == nil
+		return response.BodyReader == nil
 	}
 	return false
 }
 
-func failedAnswer(a *proxy.Response) *proxy.Failure {
-	return &proxy.Failure{Outcome: reason.Failed, Reason: reason.BackendFailed, Cause: fmt.Errorf("the backend server answered %d", a.Status)}
+func responseFailure(response *proxy.Response) *proxy.Failure {
+	return &proxy.Failure{Outcome: reason.Failed, Reason: reason.BackendFailed, Cause: fmt.Errorf("the backend server responded with status %d", response.Status)}
 }
 
-// settle notes what an answer says of the backends. A failed answer is held
-// against its backend, unless others failed at the same request: then the fault
-// may be the request's.
-func (e *Entry) settle(j *job, b *route.Backend, a *proxy.Response) {
+// recordOutcome records a response as success or failure of its backends. A failed response counts
+// against its backend unless others failed on the same request, because then the request may be at
+// fault.
+func (e *Entry) recordOutcome(j *job, b *route.Backend, response *proxy.Response) {
 	switch {
-	case !failed(a):
+	case !failed(response):
 		b.RecordSuccess()
 		for _, suspect := range j.suspects {
-			e.blame(suspect, &proxy.Failure{Outcome: reason.Failed, Reason: reason.BackendFailed, Cause: errOthersDid})
+			e.recordBackendFailure(suspect, &proxy.Failure{Outcome: reason.Failed, Reason: reason.BackendFailed, Cause: errOthersSucceeded})
 		}
-	case len(j.suspects) == 0 && !j.rested:
-		e.blame(b, failedAnswer(a))
+	case len(j.suspects) == 0 && !j.inBackoff:
+		e.recordBackendFailure(b, responseFailure(response))
 	}
 }
 
-var errOthersDid = errors.New("it failed at a request that another backend server answered")
+var errOthersSucceeded = errors.New("the backend server failed on a request that another one answered")
 
-// mayRetry reports whether a failed attempt is followed by another.
+// mayRetry reports whether a failed attempt is retried. If so, it waits for the retry delay.
 func (e *Entry) mayRetry(ctx context.Context, j *job, f *proxy.Failure) bool {
 	retry := retryReason(j, f)
-	if retry == nil || ctx.Err() != nil || j.tries == maxTries || e.suspected(j) || len(j.ticket.Tried) >= len(j.target.Backends) {
+	if retry == nil || ctx.Err() != nil || j.attempts == maxAttempts || e.nextReportBlocks(j) || len(j.admission.Tried) >= len(j.target.Backends) {
 		return false
 	}
-	if !e.budget.retry() {
+	if !e.budget.take() {
 		e.opts.Meters.Count(meter.RetriesSpent).Inc()
 		return false
 	}
 	e.opts.Meters.Retry(retry)
-	return wait.For(ctx, e.budget.jitter(j.tries-1))
+	return wait.For(ctx, e.budget.jitter(j.attempts-1))
 }
 
-// retryReason says why a failed attempt may be followed by another, nil when it
-// may not.
+// retryReason returns why a failed attempt may be retried, nil if it may not.
 func retryReason(j *job, f *proxy.Failure) *reason.Reason {
 	switch {
 	case f.Reason == reason.NotReached:
 		return reason.RetryUnreached
-	case f.Outcome == reason.NotRun && j.rested:
+	case f.Outcome == reason.NotRun && j.inBackoff:
 		return reason.RetryResting
 	case f.Outcome == reason.NotRun:
 		return reason.RetryRefused
@@ -251,24 +250,24 @@
 
 func (e *Entry) attempt(ctx context.Context, j *job, b *route.Backend) (*proxy.Response, *proxy.Failure) {
 	a := j.attempt
-	a.ID = j.id + "." + strconv.Itoa(j.tries)
-	j.tries++
+	a.ID = j.id + "." + strconv.Itoa(j.attempts)
+	j.attempts++
 	a.Address = b.Address
 	a.NonRepeatable = !j.repeatable
 	a.Header = attemptHeaders(j.attempt.Header, time.Until(j.deadline()))
-	j.sentAt, j.firstAt = time.Now(), time.Time{}
+	j.sentAt, j.firstEventAt = time.Now(), time.Time{}
 	a.Sendable = func() bool { return e.opts.Pushback.Sendable(b.Name) }
-	answer, failure := e.sendPatiently(ctx, j, &a)
-	j.rested = e.observe(j, b, answer, failure)
-	if failure != nil && !j.rested && !errors.Is(failure.Cause, context.Canceled) {
-		e.blame(b, failure)
-		e.noteBroken(j, b, failure.Reason)
+	response, failure := e.sendWithTimeout(ctx, j, &a)
+	j.inBackoff = e.observe(j, b, response, failure)
+	if failure != nil && !j.inBackoff && !errors.Is(failure.Cause, context.Canceled) {
+		e.recordBackendFailure(b, failure)
+		e.recordFailedAttempt(j, b, failure.Reason)
 	}
-	return answer, failure
+	return response, failure
 }
 
-// attemptHeaders are those of one attempt. What a caller names as of its own connection
-// is taken off first, so that it cannot take the deadline off.
+// attemptHeaders returns the headers of one attempt. The headers that the caller lists in Connection
+// are removed first, so that they cannot remove the deadline.
 func attemptHeaders(from http.Header, left time.Duration) http.Header {
 	h := http.Header{}
 	proxy.CopyEndToEndHeaders(h, from)
@@ -276,8 +275,8 @@
 	return h
 }
 
-// blame notes a failure that is the backend's.
-func (e *Entry) blame(b *route.Backend, f *proxy.Failure) {
+// recordBackendFailure records a failure caused by the backend.
+func (e *Entry) recordBackendFailure(b *route.Backend, f *proxy.Failure) {
 	now := time.Now()
 	b.RecordLate(now)
 	if b.RecordFailure(now) {
@@ -286,79 +285,79 @@
 	}
 }
 
-// pass hands the answer to the caller and frees the place at the backend.
-func (e *Entry) pass(ctx context.Context, w http.ResponseWriter, j *job, res result) {
-	outcome := setHead(w, j, res.answer)
-	if res.answer.BodyReader == nil {
-		// A caller that has gone does not read its answer.
-		_, _ = w.Write(res.answer.Body)
-		e.left(j, &res, time.Since(j.ticket.StartedAt()))
-		e.noteServed(j, res.answer)
-		e.passed(j, res.backend, outcome)
+// writeResponse sends the response to the caller and releases the backend's slot.
+func (e *Entry) writeResponse(ctx context.Context, w http.ResponseWriter, j *job, res result) {
+	outcome := writeHeader(w, j, res.response)
+	if res.response.BodyReader == nil {
+		// The error is ignored: a caller that hung up needs no answer.
+		_, _ = w.Write(res.response.Body)
+		e.releaseBackend(j, &res, time.Since(j.admission.StartedAt()))
+		e.recordServed(j, res.response)
+		e.finishResponse(j, res.backend, outcome)
 		return
 	}
-	answered, isStream := time.Duration(0), res.answer.Stream
-	defer func() { e.left(j, &res, answered) }()
-	err := e.passRest(ctx, w, j, &res)
+	answered, isStream := time.Duration(0), res.response.Stream
+	defer func() { e.releaseBackend(j, &res, answered) }()
+	err := e.copyBody(ctx, w, j, &res)
 	switch {
 	case err == nil:
-		answered = time.Since(j.ticket.StartedAt())
-		e.noteServed(j, res.answer)
-		e.passed(j, res.backend, outcome)
+		answered = time.Since(j.admission.StartedAt())
+		e.recordServed(j, res.response)
+		e.finishResponse(j, res.backend, outcome)
 	case errors.Is(err, proxy.ErrCallerDisconnected):
-		e.finished(j, "caller-gone", "the caller hung up")
+		e.finish(j, "caller-gone", "the caller hung up")
 	default:
-		e.breakOff(w, j, res.backend, isStream, err)
+		e.abortResponse(w, j, res.backend, isStream, err)
 	}
 }
 
-// left frees the place at the backend, if one is held.
-func (e *Entry) left(j *job, res *result, answered time.Duration) {
-	e.noteDemand(j.target, time.Since(j.ticket.StartedAt()))
+// releaseBackend releases the backend's slot, if one is occupied.
+func (e *Entry) releaseBackend(j *job, res *result, answered time.Duration) {
+	e.recordDemand(j.target, time.Since(j.admission.StartedAt()))
 	if res.backend != nil {
-		e.gate.Release(res.backend, j.ticket, answered)
+		e.admission.Release(res.backend, j.admission, answered)
 	}
 }
 
-func setHead(w http.ResponseWriter, j *job, answer *proxy.Response) reason.Outcome {
+func writeHeader(w http.ResponseWriter, j *job, response *proxy.Response) reason.Outcome {
 	h := w.Header()
-	proxy.CopyEndToEndHeaders(h, answer.Header)
+	proxy.CopyEndToEndHeaders(h, response.Header)
 	h.Set(HeaderRequestID, j.id)
 	outcome := reason.Done
-	if answer.Status >= http.StatusInternalServerError {
+	if response.Status >= http.StatusInternalServerError {
 		outcome = reason.Failed
 	}
 	h.Set(HeaderOutcome, string(outcome))
-	if answer.BodyReader == nil {
-		h.Set("Content-Length", strconv.Itoa(len(answer.Body)))
+	if response.BodyReader == nil {
+		h.Set("Content-Length", strconv.Itoa(len(response.Body)))
 	}
-	w.WriteHeader(answer.Status)
+	w.WriteHeader(response.Status)
 	return outcome
 }
 
-// passed notes a whole answer.
-func (e *Entry) passed(j *job, b *route.Backend, outcome reason.Outcome) {
+// finishResponse records a complete response.
+func (e *Entry) finishResponse(j *job, b *route.Backend, outcome reason.Outcome) {
 	if b == nil {
-		e.finished(j, string(outcome), "by a backend server whose answer was kept while others were tried")
+		e.finish(j, string(outcome), "response of an earlier attempt, returned after the retries failed")
 		return
 	}
-	if now := time.Now(); now.After(j.deadline()) || j.firstLate {
+	if now := time.Now(); now.After(j.deadline()) || j.firstEventLate {
 		b.RecordLate(now)
 	} else {
 		b.RecordInTime()
 	}
-	e.finished(j, string(outcome), "by "+b.Name)
+	e.finish(j, string(outcome), "by "+b.Name)
 }
 
-// breakOff makes sure that a part of an answer is not taken for the whole: a
-// stream gets an error event, and the connection breaks without its last chunk.
-func (e *Entry) breakOff(w http.ResponseWriter, j *job, b *route.Backend, isStream bool, cause error) {
+// abortResponse ensures that a partial response is not taken for a complete one: a stream gets an
+// error event, and the connection is closed without the final chunk.
+func (e *Entry) abortResponse(w http.ResponseWriter, j *job, b *route.Backend, isStream bool, cause error) {
 	e.opts.Meters.Refuse(reason.StreamBroke)
-	if b != nil { // else it was blamed before the stream was to go on elsewhere
-		e.noteBroken(j, b, reason.StreamBroke)
-		e.blame(b, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: cause})
+	if b != nil { // otherwise the failure was recorded before the attempt to resume the stream
+		e.recordFailedAttempt(j, b, reason.StreamBroke)
+		e.recordBackendFailure(b, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: cause})
 	}
-	e.finished(j, string(reason.Unknown), cause.Error())
+	e.finish(j, string(reason.Unknown), cause.Error())
 	if isStream {
 		body, err := json.Marshal(errorBody(j.id, reason.StreamBroke, "", 0))
 		if err == nil {
@@ -369,12 +368,12 @@
 	panic(http.ErrAbortHandler)
 }
 
-// finished counts the request and notes how it ended.
-func (e *Entry) finished(j *job, outcome, detail string) {
-	took := time.Since(j.arrived)
+// finish counts the request and records its outcome.
+func (e *Entry) finish(j *job, outcome, detail string) {
+	took := time.Since(j.receivedAt)
 	e.opts.Meters.Count(meter.Requests, j.class(), outcome).Inc()
 	e.opts.Meters.Observe(meter.Duration, j.class()).Observe(took.Seconds())
-	if outcome == string(reason.Done) && took <= j.target.Class.Deadline && !j.firstLate {
+	if outcome == string(reason.Done) && took <= j.target.Class.Deadline && !j.firstEventLate {
 		e.opts.Meters.Count(meter.InTime, j.class()).Inc()
 	}
 	e.opts.Records.Note(record.Request, j.id, outcome+" as "+j.target.Name, detail)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -15,62 +15,61 @@
 	"leverdrum/stream"
 )
 
-// maxResumes bounds how often one stream is continued elsewhere.
+// maxResumes bounds how often one stream is resumed.
 const maxResumes = 3
 
-// passRest passes on what is still to be read of an answer. A stream that
-// breaks off goes on at another server if it can; res names the backend whose
-// place is held, nil for none.
-func (e *Entry) passRest(ctx context.Context, w http.ResponseWriter, j *job, res *result) error {
-	if !res.answer.Stream {
-		return proxy.CopyBody(w, res.answer, proxy.CopyOptions{})
+// copyBody copies the unread part of a response to the caller. A stream that breaks off is resumed at
+// another server if possible; res names the backend whose slot is occupied, nil for none.
+func (e *Entry) copyBody(ctx context.Context, w http.ResponseWriter, j *job, res *result) error {
+	if !res.response.Stream {
+		return proxy.CopyBody(w, res.response, proxy.CopyOptions{})
 	}
 	relay := stream.New(lastEvent(j))
-	version := res.answer.Version
+	version := res.response.Version
 	for resumes := 0; ; {
-		err := proxy.CopyBody(w, res.answer, e.copying(j, relay, res.backend))
+		err := proxy.CopyBody(w, res.response, e.copyOptions(j, relay, res.backend))
 		if err == nil || errors.Is(err, proxy.ErrCallerDisconnected) || errors.Is(err, stream.ErrGap) {
 			return err
 		}
-		at, can := relay.Position()
-		if !can || version == "" {
+		position, resumable := relay.Position()
+		if !resumable || version == "" {
 			return err
 		}
-		broke := res.backend
-		e.noteBroken(j, broke, reason.StreamBroke)
-		if e.suspected(j) {
+		failedBackend := res.backend
+		e.recordFailedAttempt(j, failedBackend, reason.StreamBroke)
+		if e.nextReportBlocks(j) {
 			return err
 		}
-		e.blame(broke, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: err})
-		e.gate.Release(broke, j.ticket, 0)
+		e.recordBackendFailure(failedBackend, &proxy.Failure{Outcome: reason.Unknown, Reason: reason.StreamBroke, Cause: err})
+		e.admission.Release(failedBackend, j.admission, 0)
 		*res = result{}
-		for res.answer == nil {
+		for res.response == nil {
 			if resumes++; resumes > maxResumes || ctx.Err() != nil {
 				return err
 			}
-			*res = e.resume(ctx, j, broke, at, version)
+			*res = e.resume(ctx, j, failedBackend, position, version)
 		}
 		relay.Continue()
 	}
 }
 
-// copying says how a stream is passed on: its first event is timed, and where it
-// can go on elsewhere it is broken off when it stalls.
-func (e *Entry) copying(j *job, relay *stream.Relay, b *route.Backend) proxy.CopyOptions {
-	how := proxy.CopyOptions{Relay: relay, OnFirstEvent: func() {
-		j.firstAt = time.Now()
-		e.gate.RecordFirstEvent(j.ticket, time.Since(j.ticket.StartedAt()))
-		if due := j.ticket.FirstEventDeadline; !due.IsZero() && time.Now().After(due) {
-			j.firstLate = true
+// copyOptions returns how to copy a stream: the first event is timed, and a stream that can be resumed
+// elsewhere is closed when it stalls.
+func (e *Entry) copyOptions(j *job, relay *stream.Relay, b *route.Backend) proxy.CopyOptions {
+	opts := proxy.CopyOptions{Relay: relay, OnFirstEvent: func() {
+		j.firstEventAt = time.Now()
+		e.admission.RecordFirstEvent(j.admission, time.Since(j.admission.StartedAt()))
+		if deadline := j.admission.FirstEventDeadline; !deadline.IsZero() && time.Now().After(deadline) {
+			j.firstEventLate = true
 		}
 	}}
 	if b.ResumesStreams {
-		how.StallAfter, how.AbortStalled = j.target.Class.StallAfter, e.budget.left
+		opts.StallAfter, opts.AbortStalled = j.target.Class.StallAfter, e.budget.hasToken
 	}
-	return how
+	return opts
 }
 
-// lastEvent is the line of a stream's last event; services have none.
+// lastEvent returns the line that ends a stream; services have none.
 func lastEvent(j *job) string {
 	if j.target.Service != nil {
 		return ""
@@ -78,48 +77,48 @@
 	return engine.StreamDone
 }
 
-// resume asks a server for the events behind the position. Without a server
-// that gives them, by the same version of the weights, it returns no answer.
-func (e *Entry) resume(ctx context.Context, j *job, broke *route.Backend, at uint64, version string) result {
-	if !e.budget.retry() {
+// resume requests the events after position from another server. It returns no response if no server
+// provides them with the same version of the weights.
+func (e *Entry) resume(ctx context.Context, j *job, failedBackend *route.Backend, position uint64, version string) result {
+	if !e.budget.take() {
 		e.opts.Meters.Count(meter.RetriesSpent).Inc()
 		return result{}
 	}
-	b := e.enterAgain(ctx, j, broke)
+	b := e.acquireForResume(ctx, j, failedBackend)
 	if b == nil {
 		return result{}
 	}
 	e.opts.Meters.Retry(reason.RetryStream)
-	again := *j
-	again.attempt.Header = j.attempt.Header.Clone()
-	again.attempt.Header.Set(engine.HeaderLastEvent, strconv.FormatUint(at, 10))
-	again.permit = j.permit
-	answer, failure := e.attempt(ctx, &again, b)
-	j.tries, j.breaks, j.sentAt, j.firstAt = again.tries, again.breaks, again.sentAt, again.firstAt
-	if failure == nil && answer.Stream && answer.Version == version && answer.Status == http.StatusOK {
-		return result{answer: answer, backend: b}
+	resumed := *j
+	resumed.attempt.Header = j.attempt.Header.Clone()
+	resumed.attempt.Header.Set(engine.HeaderLastEvent, strconv.FormatUint(position, 10))
+	resumed.permit = j.permit
+	response, failure := e.attempt(ctx, &resumed, b)
+	j.attempts, j.brokenAttempts, j.sentAt, j.firstEventAt = resumed.attempts, resumed.brokenAttempts, resumed.sentAt, resumed.firstEventAt
+	if failure == nil && response.Stream && response.Version == version && response.Status == http.StatusOK {
+		return result{response: response, backend: b}
 	}
-	if failure == nil && answer.BodyReader != nil {
-		answer.BodyReader.Close()
+	if failure == nil && response.BodyReader != nil {
+		response.BodyReader.Close()
 	}
-	e.gate.Release(b, j.ticket, 0)
+	e.admission.Release(b, j.admission, 0)
 	return result{}
 }
 
-// enterAgain takes a place at a server that resumes streams: another one than
-// the one that broke off, or else that one.
-func (e *Entry) enterAgain(ctx context.Context, j *job, broke *route.Backend) *route.Backend {
-	var not []*route.Backend
+// acquireForResume acquires a slot at a server that can resume streams: preferably another one than
+// failedBackend.
+func (e *Entry) acquireForResume(ctx context.Context, j *job, failedBackend *route.Backend) *route.Backend {
+	var excluded []*route.Backend
 	for _, b := range j.target.Backends {
 		if !b.ResumesStreams {
-			not = append(not, b)
+			excluded = append(excluded, b)
 		}
 	}
-	j.ticket.Tried = append([]*route.Backend{broke}, not...)
-	b, why := e.enter(ctx, j)
-	if why == reason.NoServer && broke.ResumesStreams {
-		j.ticket.Tried = not
-		b, _ = e.enter(ctx, j)
+	j.admission.Tried = append([]*route.Backend{failedBackend}, excluded...)
+	b, why := e.acquireBackend(ctx, j)
+	if why == reason.NoServer && failedBackend.ResumesStreams {
+		j.admission.Tried = excluded
+		b, _ = e.acquireBackend(ctx, j)
 	}
 	return b
 }
