--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine speaks the model servers' protocol: orders, state, and the
-// chat/completions interface, all over HTTP. A protocol met later changes this
-// package alone.
+// Package engine implements the model servers' protocol over HTTP: orders, state and
+// the chat/completions API. Support for another protocol needs changes to this
+// package only.
 package engine
 
 import (
@@ -25,14 +25,14 @@
 	StatePath       = "/state"
 	OrderPath       = "/orders"
 	ChatPath        = "/v1/chat/completions"
-	HeaderAttemptID = "X-Attempt-Id" // sent with a request, repeated in its answer
-	HeaderNotRun    = "X-Not-Run"    // "true" in an answer: the request was not run
-	// HeaderVersion, in an answer, is the version of the weights that give it.
+	HeaderAttemptID = "X-Attempt-Id" // sent with a request and repeated in the response
+	HeaderNotRun    = "X-Not-Run"    // "true" in a response: the request was not run
+	// HeaderVersion, in a response, is the version of the model weights that produced it.
 	HeaderVersion = "X-Model-Version"
-	// HeaderLastEvent, in a request, asks a server that resumes streams to go on
-	// behind the event of this id. Ids rise by one from 1.
+	// HeaderLastEvent, in a request, asks a server that resumes streams to continue
+	// after the event with this ID. IDs start at 1 and increase by one.
 	HeaderLastEvent = "Last-Event-Id"
-	StreamDone      = "data: [DONE]" // the last event of a whole stream
+	StreamDone      = "data: [DONE]" // the last event of a complete stream
 )
 
 // Actions of an order.
@@ -41,9 +41,9 @@
 	Unload = "unload"
 )
 
-// Order tells a server to change what is resident. ID rises from order to order
-// and is the fence: a server that checks fences refuses an order behind a newer
-// one, and answers one that it has run already with the first answer.
+// Order tells a server to load or unload an item. ID increases from order to order
+// and serves as the fence: a server that checks fences rejects an order older than
+// one it has seen, and repeats its first response to an order that it has already run.
 type Order struct {
 	ID          uint64 `json:"id"`
 	Incarnation string `json:"incarnation"`
@@ -55,13 +55,13 @@
 	Memory      uint64 `json:"memory"` // bytes
 }
 
-// Outcome is a server's word on an order.
+// Outcome is the result of an order as reported by the server.
 type Outcome struct {
 	Done   bool   `json:"done"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Resident is an item that a server holds.
+// Resident is a model or adapter that a server has loaded or is loading.
 type Resident struct {
 	Accelerator uint32 `json:"accelerator"`
 	Model       string `json:"model"`
@@ -71,7 +71,7 @@
 	Loading     bool   `json:"loading,omitempty"`
 }
 
-// State is what a server says of itself. It may lag.
+// State is the state that a server reports. It can be stale.
 type State struct {
 	Incarnation string     `json:"incarnation"`
 	Draining    bool       `json:"leaving"`
@@ -83,14 +83,14 @@
 
 // Server is one model server.
 type Server interface {
-	// State reads the server's word on itself.
+	// State reads the server's reported state.
 	State(ctx context.Context) (*State, error)
-	// Order sends an order once and waits for its end. An error means that it is
-	// not known whether the order ran or still may.
+	// Order sends an order once and waits for its completion. After an error it is
+	// unknown whether the order ran or may still run.
 	Order(ctx context.Context, o *Order) (Outcome, error)
 }
 
-// Client reaches servers over HTTP.
+// Client communicates with servers over HTTP.
 type Client struct {
 	reads  *http.Client
 	orders *http.Client
@@ -101,27 +101,27 @@
 	dialTimeout   = time.Second
 )
 
-// NewClient returns a client whose orders are written only while allowed says
-// so; it is asked last thing before each write to a connection. It keeps to what servers say of themselves; said may be nil.
-func NewClient(allowed func() bool, said Pushback) *Client {
+// NewClient returns a client that writes orders only while allowed returns true. It checks right before each write to a
+// connection. The client honors the servers' pushback, which may be nil.
+func NewClient(allowed func() bool, pushback Pushback) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
-		reads:  WithPushback(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1}}, said, &dialect.Native),
-		orders: WithPushback(NewGuardedClient(allowed), said, &dialect.Native),
+		reads:  WithPushback(&http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1}}, pushback, &dialect.Native),
+		orders: WithPushback(NewGuardedClient(allowed), pushback, &dialect.Native),
 	}
 }
 
-// At returns the server of a name at an address.
-func (c *Client) At(name, address string) Server { return &remote{c, name, "http://" + address} }
+// At returns the named server at an address.
+func (c *Client) At(name, address string) Server { return &remoteServer{c, name, "http://" + address} }
 
-type remote struct {
+type remoteServer struct {
 	client *Client
 	name   string
 	base   string
 }
 
 // State reads GET /state.
-func (r *remote) State(ctx context.Context) (*State, error) {
+func (r *remoteServer) State(ctx context.Context) (*State, error) {
 	req, err := http.NewRequestWithContext(WithServer(ctx, r.name), http.MethodGet, r.base+StatePath, nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -131,18 +131,18 @@
 		return nil, err
 	}
 	if s.Incarnation == "" {
-		return nil, Error.New("the server's state names no incarnation")
+		return nil, Error.New("the server's state has no incarnation")
 	}
 	return s, nil
 }
 
-// Order posts to /orders on a connection of its own, which is never used again.
-func (r *remote) Order(ctx context.Context, o *Order) (Outcome, error) {
+// Order sends POST /orders on a separate connection that is not reused.
+func (r *remoteServer) Order(ctx context.Context, o *Order) (Outcome, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return Outcome{}, Error.Wrap(err)
 	}
-	// The body is hidden from the transport, which else might send it again.
+	// Wrapping the reader hides the body from the transport, which might otherwise send it again.
 	req, err := http.NewRequestWithContext(WithServer(ctx, r.name), http.MethodPost, r.base+OrderPath, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return Outcome{}, Error.Wrap(err)
@@ -154,7 +154,7 @@
 		return Outcome{}, err
 	}
 	if status != http.StatusOK && status != http.StatusConflict {
-		return Outcome{}, Error.New("the server answered an order with status %d", status)
+		return Outcome{}, Error.New("unexpected status %d in response to an order", status)
 	}
 	return out, nil
 }
@@ -170,7 +170,7 @@
 		return 0, Error.Wrap(err)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return 0, Error.New("status %d with an answer that cannot be read: %v", resp.StatusCode, err)
+		return 0, Error.New("cannot decode the response with status %d: %v", resp.StatusCode, err)
 	}
 	return resp.StatusCode, nil
 }
--- a/engine/guard.go
+++ b/engine/guard.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 )
 
-// ErrNotAllowed: the box does not lead any more; nothing was written.
-var ErrNotAllowed = errors.New("this box may not give orders any more")
+// ErrNotAllowed: the box is no longer the leader. Nothing was written.
+var ErrNotAllowed = errors.New("this box is no longer the leader and may not issue orders")
 
-// ErrUnreachable: no connection to the server came about; nothing was written.
-var ErrUnreachable = errors.New("the server takes no connection")
+// ErrUnreachable: the connection to the server could not be established. Nothing was written.
+var ErrUnreachable = errors.New("cannot connect to the server")
 
-// guardedTransport sends requests whose bytes leave only while allowed says so; it is asked last thing before each write.
-// Connections are not kept.
+// guardedTransport sends bytes only while allowed returns true. It checks right before each write. Connections are not
+// reused.
 type guardedTransport struct{ *http.Transport }
 
 func newGuardedTransport(allowed func() bool) *guardedTransport {
@@ -26,60 +26,60 @@
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrUnreachable, err)
 		}
-		sent, _ := ctx.Value(sendingKey{}).(*sending)
-		return &guardedConn{Conn: c, allowed: allowed, sending: sent}, nil
+		current, _ := ctx.Value(attemptKey{}).(*attempt)
+		return &guardedConn{Conn: c, allowed: allowed, attempt: current}, nil
 	}
 	return &guardedTransport{&http.Transport{DialContext: dial, DisableKeepAlives: true, DisableCompression: true}}
 }
 
-// sendingKey names, in a request's context, its sending.
-type sendingKey struct{}
+// attemptKey is the context key of a request's attempt.
+type attemptKey struct{}
 
-// sending is one sending of a request.
-type sending struct {
-	// sendable is asked before the first bytes leave; nil: they may.
+// attempt is one attempt to send a request.
+type attempt struct {
+	// sendable is checked before the first write. nil permits it.
 	sendable func() bool
-	// refused tells that the box was not allowed a write, resting that the server asked for a rest before the first one.
-	refused, resting atomic.Bool
+	// refused is set if the box was not allowed to write, inBackoff if the server requested a backoff before the first write.
+	refused, inBackoff atomic.Bool
 }
 
-// RoundTrip says ErrNotAllowed or ErrResting where a write was refused. The transport closes the connection then, and its
-// reader may fail before its writer has told why.
+// RoundTrip returns ErrNotAllowed or ErrInBackoff if a write was refused. The transport then closes the connection, and
+// its reader can fail before its writer has returned the reason.
 func (t *guardedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	s := &sending{}
+	current := &attempt{}
 	if c, ok := r.Context().Value(callKey{}).(*call); ok {
-		s.sendable = c.sendable
+		current.sendable = c.sendable
 	}
-	resp, err := t.Transport.RoundTrip(r.WithContext(context.WithValue(r.Context(), sendingKey{}, s)))
+	resp, err := t.Transport.RoundTrip(r.WithContext(context.WithValue(r.Context(), attemptKey{}, current)))
 	switch {
-	case err != nil && s.refused.Load():
+	case err != nil && current.refused.Load():
 		return nil, ErrNotAllowed
-	case err != nil && s.resting.Load():
+	case err != nil && current.inBackoff.Load():
 		return nil, ErrInBackoff
 	}
 	return resp, err
 }
 
-// guardedConn refuses to write once its box does not lead, and to begin with a server that rests.
+// guardedConn refuses writes once its box is not the leader, and the first write to a server in backoff.
 type guardedConn struct {
 	net.Conn
 	allowed func() bool
-	sending *sending // nil: nobody asks
-	began   bool
+	attempt *attempt // nil: no attempt in the context
+	started bool
 }
 
-// Write asks for permission right before the bytes leave.
+// Write checks the permission right before it writes.
 func (c *guardedConn) Write(b []byte) (int, error) {
 	if !c.allowed() {
-		if c.sending != nil {
-			c.sending.refused.Store(true)
+		if c.attempt != nil {
+			c.attempt.refused.Store(true)
 		}
 		return 0, ErrNotAllowed
 	}
-	if s := c.sending; s != nil && !c.began && s.sendable != nil && !s.sendable() {
-		s.resting.Store(true)
+	if s := c.attempt; s != nil && !c.started && s.sendable != nil && !s.sendable() {
+		s.inBackoff.Store(true)
 		return 0, ErrInBackoff
 	}
-	c.began = true
+	c.started = true
 	return c.Conn.Write(b)
 }
--- a/engine/heed.go
+++ b/engine/pushback.go
@@ -9,33 +9,33 @@
 	"leverdrum/dialect"
 )
 
-// ErrInBackoff: the server asked this box for a rest; nothing was sent.
-var ErrInBackoff = errors.New("the server asked this box for a rest")
+// ErrInBackoff: the server asked this box to back off. Nothing was sent.
+var ErrInBackoff = errors.New("the server asked this box to back off")
 
-// Pushback is what servers say of themselves in their answers, by name or life.
+// Pushback tracks what servers report in their responses, by server name or incarnation.
 type Pushback interface {
-	// Observe records what an answer to a call says of its server.
-	Observe(server, call string, said dialect.Report)
-	// Sendable reports whether the server wants calls of this box now.
+	// Observe records what the response to a call reports about its server.
+	Observe(server, call string, report dialect.Report)
+	// Sendable reports whether the server currently accepts calls of this box.
 	Sendable(server string) bool
 }
 
-// callKey names, in a request's context, the call that it is.
+// callKey is the context key of a request's call.
 type callKey struct{}
 
-// call is one call of a server.
+// call is one call to a server.
 type call struct {
 	server   string
 	sendable func() bool
 }
 
-// WithServer says which server, or which life of it, a call with the context is for.
+// WithServer returns a context whose calls go to the given server or incarnation of it.
 func WithServer(ctx context.Context, server string) context.Context {
 	return context.WithValue(ctx, callKey{}, &call{server: server})
 }
 
-// heedingTransport sends no call to a server that rests, and has each answer observed.
-type heedingTransport struct {
+// pushbackTransport sends no calls to servers in backoff and observes each response.
+type pushbackTransport struct {
 	next     http.RoundTripper
 	pushback Pushback
 	dialect  *dialect.Dialect
@@ -46,11 +46,11 @@
 	if p == nil {
 		return c
 	}
-	return &http.Client{Transport: &heedingTransport{c.Transport, p, d}}
+	return &http.Client{Transport: &pushbackTransport{c.Transport, p, d}}
 }
 
-// RoundTrip says ErrResting where nothing was sent for a rest.
-func (t *heedingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip returns ErrInBackoff if it sent nothing because the server is in backoff.
+func (t *pushbackTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c, ok := r.Context().Value(callKey{}).(*call)
 	if !ok {
 		return t.next.RoundTrip(r)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -23,7 +23,7 @@
 
 // Storage stores what must survive a restart. A box without a disk uses MemoryStorage.
 type Storage interface {
-	// Append makes a batch durable, or stores nothing and returns wal.ErrFull,
+	// Append makes a batch durable, or stores nothing and returns wal.ErrDiskFull,
 	// or fails permanently.
 	Append(*wire.Batch) error
 	// SaveSnapshot replaces the log up to the snapshot.
--- a/wal/frame.go
+++ b/wal/frame.go
@@ -10,10 +10,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A frame's header: length, checksum of the payload, checksum of both.
+// A frame header holds the payload length, the payload checksum and a checksum of these two fields.
 const (
 	headerSize = 12
-	// maxPayload bounds what a length is believed to be, in bytes.
+	// maxPayload is the largest frame length accepted when reading, in bytes.
 	maxPayload = 256 << 20
 )
 
@@ -27,61 +27,62 @@
 	return append(frame, payload...)
 }
 
-// eachFrame calls use with each payload. It returns how many bytes are good,
-// and whether what follows them is a torn last frame. A bad frame that cannot
-// be the torn last one is ErrCorrupt (2).
-func eachFrame(data []byte, use func(payload []byte) error) (good int, torn bool, err error) {
-	for good < len(data) {
-		rest := data[good:]
-		if len(rest) < headerSize {
-			return good, true, nil
+// eachFrame calls use for each payload. It returns the number of valid bytes and
+// whether a torn last frame follows them. An invalid frame that cannot be a torn
+// last frame yields ErrCorrupt (2).
+func eachFrame(data []byte, use func(payload []byte) error) (valid int, torn bool, err error) {
+	for valid < len(data) {
+		remaining := data[valid:]
+		if len(remaining) < headerSize {
+			return valid, true, nil
 		}
-		if crc32.Checksum(rest[:8], castagnoli) != binary.LittleEndian.Uint32(rest[8:]) {
-			if !frameWithin(rest) {
-				return good, true, nil
+		if crc32.Checksum(remaining[:8], castagnoli) != binary.LittleEndian.Uint32(remaining[8:]) {
+			if !containsFrame(remaining) {
+				return valid, true, nil
 			}
-			return good, false, fmt.Errorf("%w: checksum of a header", ErrCorrupt)
+			return valid, false, fmt.Errorf("%w: header checksum mismatch", ErrCorrupt)
 		}
-		end := headerSize + int(binary.LittleEndian.Uint32(rest))
+		end := headerSize + int(binary.LittleEndian.Uint32(remaining))
 		if end > maxPayload {
-			return good, false, fmt.Errorf("%w: a frame of %d bytes", ErrCorrupt, end)
+			return valid, false, fmt.Errorf("%w: frame of %d bytes exceeds the maximum size", ErrCorrupt, end)
 		}
-		if end > len(rest) {
-			return good, true, nil
+		if end > len(remaining) {
+			return valid, true, nil
 		}
-		payload := rest[headerSize:end]
-		if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(rest[4:]) {
-			if end == len(rest) {
-				return good, true, nil
+		payload := remaining[headerSize:end]
+		if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(remaining[4:]) {
+			if end == len(remaining) {
+				return valid, true, nil
 			}
-			return good, false, fmt.Errorf("%w: checksum of a frame", ErrCorrupt)
+			return valid, false, fmt.Errorf("%w: payload checksum mismatch", ErrCorrupt)
 		}
 		if err := use(payload); err != nil {
-			return good, false, err
+			return valid, false, err
 		}
-		good += end
+		valid += end
 	}
-	return good, false, nil
+	return valid, false, nil
 }
 
-// frameWithin reports whether a whole frame stands anywhere behind the beginning. Only
-// the last frame can be torn (2), and of that any part may be missing.
-func frameWithin(b []byte) bool {
+// containsFrame reports whether b contains a complete frame at any offset after 0. Only
+// the last frame can be torn, and any part of it can be missing (2), so a complete
+// frame behind an invalid one means corruption.
+func containsFrame(b []byte) bool {
 	for i := 1; i+headerSize <= len(b); i++ {
-		rest := b[i:]
-		length := int(binary.LittleEndian.Uint32(rest))
-		if length == 0 || length > len(rest)-headerSize || crc32.Checksum(rest[:8], castagnoli) != binary.LittleEndian.Uint32(rest[8:]) {
+		candidate := b[i:]
+		length := int(binary.LittleEndian.Uint32(candidate))
+		if length == 0 || length > len(candidate)-headerSize || crc32.Checksum(candidate[:8], castagnoli) != binary.LittleEndian.Uint32(candidate[8:]) {
 			continue
 		}
-		if crc32.Checksum(rest[headerSize:headerSize+length], castagnoli) == binary.LittleEndian.Uint32(rest[4:]) {
+		if crc32.Checksum(candidate[headerSize:headerSize+length], castagnoli) == binary.LittleEndian.Uint32(candidate[4:]) {
 			return true
 		}
 	}
 	return false
 }
 
-// readOne reads a file of a single frame.
-func (s *Store) readOne(name string, m proto.Message) error {
+// readSingleFrame reads a file that consists of a single frame.
+func (s *Store) readSingleFrame(name string, m proto.Message) error {
 	data, err := os.ReadFile(s.path(name))
 	if err != nil {
 		return Error.Wrap(err)
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// replace writes a file of a single frame beside the old one, syncs it, and
-// renames it into place (4).
+// replace writes a single-frame file under a temporary name, syncs it and
+// renames it over the old file (4).
 func (s *Store) replace(name string, m proto.Message) error {
 	payload, err := proto.Marshal(m)
 	if err != nil {
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,29 +1,30 @@
-// Package wal keeps a member's identity, log and snapshots in one data folder.
+// Package wal stores a member's identity, write-ahead log and snapshots in one data folder.
 //
 // The folder holds:
 //
-//	identity        who this box is; written once, never changed
+//	identity        the identity of this box; written once, never changed
 //	snapshot        the newest snapshot; replaced by rename
-//	log-N           batches of entries and votes since segment N began
+//	log-N           segment N of the log: batches of entries and votes
 //
 // Rules:
 //
-//  1. Every file consists of frames. A frame's header (length, checksum of the
-//     payload, checksum of the header) and its payload go out in one write, and
-//     a frame is durable before the next one is written.
-//  2. So only the last frame of the last segment can be torn by a crash, and any part
-//     of it be missing. It was never acknowledged and is cut off. A bad frame with a
-//     whole one behind it means that acknowledged records are gone: the folder is
-//     refused, nothing is written.
-//  3. A failed sync leaves unknown what is on the disk: the error is final for
-//     the process (ErrSync). A full disk is not: the frame is cut off again, and
-//     the caller gets ErrFull and knows that nothing was kept.
-//  4. A snapshot is complete in a file of its own before it replaces the old
-//     one; segments are removed only after that.
-//  5. Entries of old segments count only if they connect to the snapshot: the
-//     segment was begun behind it, or the log holds its last entry. Else a crash
-//     came between the two files of rule 4 and the old log is dropped.
-//  6. A folder of another box, another cluster or a newer format is refused.
+//  1. Every file consists of frames. A frame's header (length, payload checksum,
+//     header checksum) and its payload are written in a single write, and a frame
+//     is durable before the next one is written.
+//  2. A crash can therefore tear only the last frame of the last segment, and any
+//     part of that frame can be missing. It was never acknowledged, so it is
+//     truncated. An invalid frame followed by a complete one means that acknowledged
+//     records are lost: the folder is rejected and nothing is written to it.
+//  3. After a failed sync the content of the disk is unknown, so the error is fatal
+//     for the process (ErrSync). A full disk is not fatal: the partial frame is
+//     truncated, and ErrDiskFull tells the caller that nothing was stored.
+//  4. A snapshot is written completely to its own file before it replaces the old
+//     one. Segments are removed only after that.
+//  5. Entries of old segments are used only if they connect to the snapshot: the
+//     segment starts right after it, or the log contains the snapshot's last entry.
+//     Otherwise a crash occurred between the two writes of rule 4, and the old log
+//     is discarded.
+//  6. A folder of another box, another cluster or a newer format is rejected.
 package wal
 
 import (
@@ -42,7 +43,7 @@
 	"leverdrum/wire"
 )
 
-// Format is the number of the layout that this version writes.
+// Format is the version of the on-disk format that this build writes.
 const Format = 1
 
 // Names of the files in a data folder.
@@ -61,54 +62,54 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("data folder")
 
-// What a store answers instead of keeping a record.
+// Errors of a store that could not read or write its records.
 var (
-	// ErrDiskFull: no room; nothing of the batch was kept and the store works on.
-	ErrDiskFull = errors.New("no room in the data folder; free some space or raise limit")
-	// ErrSync: the disk did not confirm; the process must end.
+	// ErrDiskFull: no space is left. Nothing of the batch was stored, and the store remains usable.
+	ErrDiskFull = errors.New("the data folder is full; free disk space or raise its limit")
+	// ErrSync: a write could not be made durable. The process must exit.
 	ErrSync = errors.New("the disk did not confirm a write; replace the disk or restart the box")
-	// ErrCorrupt: acknowledged records cannot be read.
-	ErrCorrupt = errors.New("acknowledged records cannot be read; empty the folder so that the box rejoins as a new member")
-	// ErrForeign: the folder is not of this box and cluster, or of a newer format.
-	ErrForeign = errors.New("the folder belongs elsewhere")
+	// ErrCorrupt: acknowledged records are lost or unreadable.
+	ErrCorrupt = errors.New("acknowledged records are corrupted; empty the folder to let the box rejoin as a new member")
+	// ErrForeign: the folder belongs to another box or cluster, or has a newer format.
+	ErrForeign = errors.New("the folder belongs to another box or cluster, or has a newer format")
 )
 
-// Options say where and for whom a store is.
+// Options configure a store.
 type Options struct {
-	// Folder is the data folder; it is made if it does not exist.
+	// Folder is the data folder. It is created if it does not exist.
 	Folder string
-	// Box and Cluster are compared with the identity in the folder.
+	// Box and Cluster must match the identity in the folder.
 	Box, Cluster string
-	// Limit bounds the bytes of the folder; 0 means no bound but the disk.
+	// Limit is the maximum size of the folder in bytes. 0 means limited by the disk only.
 	Limit int64
-	// Incarnation names a new identity when the folder is empty.
+	// Incarnation goes into the new identity if the folder is empty.
 	Incarnation string
 }
 
 // Store is an open data folder. It is not safe for concurrent use.
 type Store struct {
-	opts     Options
-	identity *wire.Identity
-	loaded   Loaded
-	base     *wire.Base // of the newest segment
-	segment  *os.File
-	seq      uint64
-	size     int64 // bytes of the open segment
-	other    int64 // bytes of all other files
+	opts        Options
+	identity    *wire.Identity
+	loaded      Loaded
+	base        *wire.Base // of the newest segment
+	segment     *os.File
+	seq         uint64
+	segmentSize int64 // bytes of the open segment
+	otherSize   int64 // bytes of all other files
 }
 
-// Loaded is what a folder held when it was opened.
+// Loaded is the content of a folder when it was opened.
 type Loaded struct {
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
-	// CommittedIndex is the newest index that is known to be agreed.
+	// CommittedIndex is the highest index known to be committed.
 	CommittedIndex uint64
-	// Torn tells that an unacknowledged last frame was cut off.
+	// Torn is set if an unacknowledged last frame was truncated.
 	Torn bool
 }
 
-// Open reads a folder, or makes a new one.
+// Open opens a data folder, creating it if needed.
 func Open(opts Options) (*Store, error) {
 	if err := os.MkdirAll(opts.Folder, folderMode); err != nil {
 		return nil, Error.Wrap(err)
@@ -123,14 +124,14 @@
 	return s, nil
 }
 
-// Identity returns who the folder says this box is. The cluster id is empty
-// until the box is part of a cluster.
+// Identity returns the identity stored in the folder. Its cluster ID is empty
+// until the box has joined a cluster.
 func (s *Store) Identity() *wire.Identity { return s.identity }
 
-// Loaded returns what the folder held when it was opened or reloaded last.
+// Loaded returns the content of the folder when it was last opened or reloaded.
 func (s *Store) Loaded() Loaded { return s.loaded }
 
-// SetClusterID makes the cluster that the box belongs to durable.
+// SetClusterID durably stores the ID of the cluster that the box belongs to.
 func (s *Store) SetClusterID(id string) error {
 	next := proto.CloneOf(s.identity)
 	next.ClusterId = id
@@ -145,14 +146,14 @@
 
 func (s *Store) openIdentity() error {
 	id := &wire.Identity{}
-	err := s.readOne(identityName, id)
+	err := s.readSingleFrame(identityName, id)
 	if errors.Is(err, os.ErrNotExist) {
 		return s.newIdentity()
 	}
 	if err != nil {
 		return err
 	}
-	if reason := s.foreign(id); reason != "" { // (6)
+	if reason := s.identityMismatch(id); reason != "" { // (6)
 		return Error.Wrap(fmt.Errorf("%s: %w: %s", s.opts.Folder, ErrForeign, reason))
 	}
 	s.identity = id
@@ -165,25 +166,25 @@
 		return err
 	}
 	if _, err := os.Stat(s.path(snapshotName)); err == nil || len(names) > 0 {
-		return Error.Wrap(fmt.Errorf("%s: %w: it has records but no identity", s.opts.Folder, ErrCorrupt))
+		return Error.Wrap(fmt.Errorf("%s: %w: records exist, but the identity file is missing", s.opts.Folder, ErrCorrupt))
 	}
 	s.identity = &wire.Identity{Format: Format, Box: s.opts.Box, Cluster: s.opts.Cluster, Incarnation: s.opts.Incarnation}
 	return s.replace(identityName, s.identity)
 }
 
-func (s *Store) foreign(id *wire.Identity) string {
+func (s *Store) identityMismatch(id *wire.Identity) string {
 	switch {
 	case id.Format > Format:
-		return fmt.Sprintf("its format is %d, this version reads up to %d", id.Format, Format)
+		return fmt.Sprintf("format is %d, but this build supports up to %d", id.Format, Format)
 	case id.Box != s.opts.Box:
-		return fmt.Sprintf("it is of box %q, this is box %q", id.Box, s.opts.Box)
+		return fmt.Sprintf("it belongs to box %q, but this is box %q", id.Box, s.opts.Box)
 	case id.Cluster != s.opts.Cluster:
-		return fmt.Sprintf("it is of cluster %q, this is cluster %q", id.Cluster, s.opts.Cluster)
+		return fmt.Sprintf("it belongs to cluster %q, but this is cluster %q", id.Cluster, s.opts.Cluster)
 	}
 	return ""
 }
 
-// Reload forgets what is in memory and reads the folder again.
+// Reload discards the in-memory state and reads the folder again.
 func (s *Store) Reload() error {
 	s.closeSegment()
 	s.loaded, s.base = Loaded{}, nil
@@ -199,13 +200,13 @@
 			return err
 		}
 	}
-	s.dropCovered()
+	s.dropSnapshotEntries()
 	return s.openSegment(names)
 }
 
 func (s *Store) loadSnapshot() error {
 	snapshot := &wire.Snapshot{}
-	err := s.readOne(snapshotName, snapshot)
+	err := s.readSingleFrame(snapshotName, snapshot)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -259,19 +260,19 @@
 	return nil
 }
 
-// dropCovered leaves only the entries behind the snapshot, and none that do not
-// connect to it (5).
-func (s *Store) dropCovered() {
+// dropSnapshotEntries discards the entries that the snapshot includes, or all entries if
+// they do not connect to the snapshot (5).
+func (s *Store) dropSnapshotEntries() {
 	index, term := s.loaded.Snapshot.GetIndex(), s.loaded.Snapshot.GetTerm()
-	begun := s.base.GetIndex() == index && s.base.GetTerm() == term
-	held := slices.ContainsFunc(s.loaded.Entries, func(e *wire.Entry) bool { return e.Index == index && e.Term == term })
-	if !begun && !held {
+	adjacent := s.base.GetIndex() == index && s.base.GetTerm() == term
+	contained := slices.ContainsFunc(s.loaded.Entries, func(e *wire.Entry) bool { return e.Index == index && e.Term == term })
+	if !adjacent && !contained {
 		s.loaded.Entries = nil
 	}
 	s.loaded.Entries = slices.DeleteFunc(s.loaded.Entries, func(e *wire.Entry) bool { return e.Index <= index })
 }
 
-// segments returns the names of the log files, oldest first.
+// segments returns the names of the segment files, oldest first.
 func (s *Store) segments() ([]string, error) {
 	list, err := os.ReadDir(s.opts.Folder)
 	if err != nil {
@@ -305,28 +306,28 @@
 		return Error.Wrap(err)
 	}
 	s.segment = f
-	if s.size, err = f.Seek(0, 2); err != nil {
+	if s.segmentSize, err = f.Seek(0, 2); err != nil {
 		return Error.Wrap(err)
 	}
 	if err := s.syncFolder(); err != nil {
 		return err
 	}
-	return s.measure()
+	return s.measureOtherFiles()
 }
 
-// measure sums the bytes of the files other than the open segment.
-func (s *Store) measure() error {
+// measureOtherFiles computes the total size of all files except the open segment.
+func (s *Store) measureOtherFiles() error {
 	list, err := os.ReadDir(s.opts.Folder)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	s.other = 0
+	s.otherSize = 0
 	for _, e := range list {
 		info, err := e.Info()
 		if err != nil || e.Name() == filepath.Base(s.segment.Name()) {
 			continue
 		}
-		s.other += info.Size()
+		s.otherSize += info.Size()
 	}
 	return nil
 }
@@ -338,30 +339,30 @@
 	}
 }
 
-// Append makes a batch durable. After ErrFull nothing of it was kept; any other
-// error is final.
+// Append durably writes a batch. After ErrDiskFull nothing of it was stored. Any other
+// error is fatal.
 func (s *Store) Append(b *wire.Batch) error {
 	payload, err := proto.Marshal(b)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	frame := encodeFrame(payload)
-	if s.opts.Limit > 0 && s.other+s.size+int64(len(frame)) > s.opts.Limit {
+	if s.opts.Limit > 0 && s.otherSize+s.segmentSize+int64(len(frame)) > s.opts.Limit {
 		return Error.Wrap(ErrDiskFull)
 	}
-	if _, err := s.segment.WriteAt(frame, s.size); err != nil {
-		return s.undo(err)
+	if _, err := s.segment.WriteAt(frame, s.segmentSize); err != nil {
+		return s.truncatePartialFrame(err)
 	}
 	if err := s.segment.Sync(); err != nil { // (3)
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, err))
 	}
-	s.size += int64(len(frame))
+	s.segmentSize += int64(len(frame))
 	return nil
 }
 
-// undo cuts off a frame that was written in part (3).
-func (s *Store) undo(cause error) error {
-	if err := s.segment.Truncate(s.size); err != nil {
+// truncatePartialFrame truncates a partially written frame (3).
+func (s *Store) truncatePartialFrame(cause error) error {
+	if err := s.segment.Truncate(s.segmentSize); err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, err))
 	}
 	if errors.Is(cause, syscall.ENOSPC) || errors.Is(cause, syscall.EDQUOT) {
@@ -370,13 +371,13 @@
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrSync, cause))
 }
 
-// HasCapacity reports whether the folder can take size more bytes under its limit.
+// HasCapacity reports whether size more bytes fit within the folder's limit.
 func (s *Store) HasCapacity(size int64) bool {
-	return s.opts.Limit == 0 || s.other+s.size+size <= s.opts.Limit
+	return s.opts.Limit == 0 || s.otherSize+s.segmentSize+size <= s.opts.Limit
 }
 
-// SaveSnapshot makes a snapshot durable, begins a new segment that holds the
-// vote and the entries behind it, and removes the old ones (4).
+// SaveSnapshot durably writes a snapshot, starts a new segment with the vote and
+// the entries after the snapshot, and removes the old segments (4).
 func (s *Store) SaveSnapshot(snapshot *wire.Snapshot, hard *wire.HardState, tail []*wire.Entry) error {
 	if err := s.replace(snapshotName, snapshot); err != nil {
 		return err
@@ -401,5 +402,5 @@
 	return s.openSegment([]string{name})
 }
 
-// Close ends the use of the folder.
+// Close closes the store.
 func (s *Store) Close() { s.closeSegment() }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -13,7 +13,7 @@
 	"leverdrum/wire"
 )
 
-func TestWal(t *testing.T) {
+func TestWAL(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "data folder")
 }
@@ -47,39 +47,39 @@
 		DeferCleanup(s.Close)
 		return s
 	}
-	segment := func() string { return filepath.Join(opts.Folder, "log-1") }
+	segmentPath := func() string { return filepath.Join(opts.Folder, "log-1") }
 	add := func(s *Store, list []*wire.Entry) {
 		GinkgoHelper()
 		Expect(s.Append(&wire.Batch{Entries: list, HardState: &wire.HardState{Term: 3, Vote: "one/first"}})).To(Succeed())
 	}
 
-	// written makes a log of three records in one write and a fourth in another, and returns
-	// where the second begins and all bytes.
-	written := func() (second int64, data []byte) {
+	// writeLog creates a log with three records in one write and a fourth in another. It returns
+	// the offset of the second write and all bytes.
+	writeLog := func() (second int64, data []byte) {
 		GinkgoHelper()
 		s := open()
 		add(s, entries(1, 3, 1))
-		second = s.size
+		second = s.segmentSize
 		add(s, entries(4, 4, 1))
 		s.Close()
-		data, err := os.ReadFile(segment())
+		data, err := os.ReadFile(segmentPath())
 		Expect(err).NotTo(HaveOccurred())
 		return second, data
 	}
-	// isTorn expects a log of these bytes to lose its second write and nothing else.
-	isTorn := func(data []byte) {
+	// expectTorn expects that a log with these bytes loses only its second write.
+	expectTorn := func(data []byte) {
 		GinkgoHelper()
-		Expect(os.WriteFile(segment(), data, 0o600)).To(Succeed())
+		Expect(os.WriteFile(segmentPath(), data, 0o600)).To(Succeed())
 		s := open()
 		Expect(s.Loaded().Torn).To(BeTrue())
 		Expect(lastIndex(s)).To(BeEquivalentTo(3))
 		s.Close()
 	}
 
-	It("gives back what was appended, and keeps its incarnation", func() {
+	It("returns appended entries and keeps its incarnation", func() {
 		s := open()
 		add(s, entries(1, 3, 1))
-		add(s, entries(3, 5, 2)) // replaces from 3 on
+		add(s, entries(3, 5, 2)) // replaces entries from index 3
 		s.Close()
 		opts.Incarnation = "second"
 		s = open()
@@ -89,18 +89,18 @@
 		Expect(s.Loaded().Entries[2].Term).To(BeEquivalentTo(2))
 	})
 
-	It("cuts off a torn last record at every length, and nothing before it", func() {
-		whole, data := written()
-		for n := whole + 1; n < int64(len(data)); n++ {
-			isTorn(data[:n])
+	It("truncates a torn last record of any length and nothing before it", func() {
+		start, data := writeLog()
+		for n := start + 1; n < int64(len(data)); n++ {
+			expectTorn(data[:n])
 		}
 	})
 
-	It("takes a tail of zeros for a torn record", func() {
+	It("treats a tail of zeros as a torn record", func() {
 		s := open()
 		add(s, entries(1, 2, 1))
 		s.Close()
-		f, err := os.OpenFile(segment(), os.O_APPEND|os.O_WRONLY, 0)
+		f, err := os.OpenFile(segmentPath(), os.O_APPEND|os.O_WRONLY, 0)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = f.Write(make([]byte, 100))
 		Expect(err).NotTo(HaveOccurred())
@@ -108,37 +108,37 @@
 		Expect(lastIndex(open())).To(BeEquivalentTo(2))
 	})
 
-	// After a loss of power each part of a write is there, missing or torn by itself:
-	// the header may be missing and the rest be there. The box then ended at each
+	// After a power loss each part of a write can be present, missing or torn independently:
+	// the header can be missing while the rest is present. The box then exited at every
 	// start (soak, seed 20261202).
-	It("cuts off a torn last record whose beginning is missing or spoilt", func() {
-		whole, data := written()
-		for n := whole + 1; n < int64(len(data)); n++ {
+	It("truncates a torn last record whose beginning is missing or corrupted", func() {
+		start, data := writeLog()
+		for n := start + 1; n < int64(len(data)); n++ {
 			for _, filler := range []byte{0, 0xa5} {
 				bad := append([]byte(nil), data...)
-				for i := whole; i < n; i++ {
+				for i := start; i < n; i++ {
 					bad[i] = filler
 				}
-				isTorn(bad)
+				expectTorn(bad)
 			}
 		}
 	})
 
-	It("refuses a folder whose acknowledged records are damaged, wherever the damage is", func() {
-		first, data := written()
+	It("rejects a folder with corrupted acknowledged records, whatever the offset", func() {
+		first, data := writeLog()
 		for i := range first {
 			bad := append([]byte(nil), data...)
 			bad[i] ^= 0x40
-			Expect(os.WriteFile(segment(), bad, 0o600)).To(Succeed())
+			Expect(os.WriteFile(segmentPath(), bad, 0o600)).To(Succeed())
 			_, err := Open(opts)
 			Expect(err).To(MatchError(ErrCorrupt), "byte %d", i)
-			after, err := os.ReadFile(segment())
+			after, err := os.ReadFile(segmentPath())
 			Expect(err).NotTo(HaveOccurred())
-			Expect(after).To(Equal(bad), "a refused folder must not be written to")
+			Expect(after).To(Equal(bad), "a rejected folder must not be modified")
 		}
 	})
 
-	It("has no room beyond its limit, loses nothing, and works on", func() {
+	It("rejects writes beyond its limit, loses nothing and remains usable", func() {
 		opts.Limit = 600
 		s := open()
 		var err error
@@ -159,13 +159,13 @@
 		Expect(lastIndex(open())).To(Equal(last + 1))
 	})
 
-	It("reports a failed write as final when it cannot be taken back", func() {
+	It("reports a failed write as fatal if it cannot be undone", func() {
 		s := open()
 		s.segment.Close()
 		Expect(s.Append(&wire.Batch{Entries: entries(1, 1, 1)})).To(MatchError(ErrSync))
 	})
 
-	It("comes back to snapshot and tail after a compaction", func() {
+	It("restores the snapshot and the remaining entries after a compaction", func() {
 		s := open()
 		add(s, entries(1, 9, 1))
 		snapshot := &wire.Snapshot{Index: 6, Term: 1, State: []byte("state")}
@@ -185,7 +185,7 @@
 		Expect(open().Loaded().Entries).To(HaveLen(3))
 	})
 
-	It("drops an old log that does not connect to a newer snapshot", func() {
+	It("discards an old log that does not connect to a newer snapshot", func() {
 		s := open()
 		add(s, entries(1, 9, 1))
 		Expect(s.replace(snapshotName, &wire.Snapshot{Index: 6, Term: 2})).To(Succeed())
@@ -193,7 +193,7 @@
 		Expect(open().Loaded().Entries).To(BeEmpty())
 	})
 
-	DescribeTable("refuses a folder that belongs elsewhere and writes nothing",
+	DescribeTable("rejects a folder that belongs elsewhere and writes nothing",
 		func(id *wire.Identity, why string) {
 			s := open()
 			s.Close()
@@ -212,7 +212,7 @@
 		Entry("a newer format", &wire.Identity{Format: 2, Box: "one", Cluster: "c"}, "format is 2"),
 	)
 
-	It("refuses records without an identity", func() {
+	It("rejects records without an identity", func() {
 		s := open()
 		add(s, entries(1, 1, 1))
 		s.Close()
@@ -228,15 +228,15 @@
 	f.Add(append(append([]byte(nil), one...), one[:5]...))
 	f.Add(make([]byte, 40))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		good, torn, err := eachFrame(data, func([]byte) error { return nil })
-		if good > len(data) {
-			t.Fatalf("%d good bytes of %d", good, len(data))
+		valid, torn, err := eachFrame(data, func([]byte) error { return nil })
+		if valid > len(data) {
+			t.Fatalf("%d valid bytes of %d", valid, len(data))
 		}
 		if err != nil && !errors.Is(err, ErrCorrupt) {
 			t.Fatal(err)
 		}
-		if !torn && err == nil && good != len(data) {
-			t.Fatalf("neither torn nor corrupt, but only %d of %d bytes are good", good, len(data))
+		if !torn && err == nil && valid != len(data) {
+			t.Fatalf("neither torn nor corrupt, but only %d of %d bytes are valid", valid, len(data))
 		}
 	})
 }
