--- a/event/event.go
+++ b/event/event.go
@@ -1,6 +1,6 @@
-// Package event is the table of everything that leverdrum logs. A line is logged
-// only when a state changes; how often something happens is for the metrics. The
-// docs are made from the table.
+// Package event defines the table of all events that leverdrum logs. A line is logged
+// only on a state change; metrics count how often something happens. The
+// documentation is generated from the table.
 package event
 
 import (
@@ -10,88 +10,88 @@
 
 // Event is one row of the table.
 type Event struct {
-	// Code is stable: programs may look for it.
+	// Code is stable, so programs may match it.
 	Code string
-	// Level is how grave it is.
+	// Level is the severity.
 	Level zapcore.Level
-	// Title is the line's message.
+	// Title is the message of the log line.
 	Title string
-	// Remedy says what to do about it.
+	// Remedy tells operators what to do.
 	Remedy string
 }
 
-// The events.
+// Events of a box.
 var (
-	Starting              = add(Event{"starting", zapcore.InfoLevel, "The process has begun and heeds signals.", "Nothing; it goes on with started."})
+	Starting              = add(Event{"starting", zapcore.InfoLevel, "The process is starting and handles signals.", "Nothing; started follows."})
 	Started               = add(Event{"started", zapcore.InfoLevel, "The box has started.", "Nothing."})
-	Stopping              = add(Event{"stopping", zapcore.InfoLevel, "A planned stop begins.", "Nothing; it ends with stopped."})
-	Stopped               = add(Event{"stopped", zapcore.InfoLevel, "The planned stop is done; nothing was cut off.", "Nothing."})
-	RequestsCutOff        = add(Event{"cut-off", zapcore.WarnLevel, "Requests were cut off by the stop.", "Raise [entry] stop-timeout above the longest deadline."})
-	CannotStart           = add(Event{"cannot-start", zapcore.ErrorLevel, "The box cannot start.", "Mend what the error names."})
-	FatalError            = add(Event{"cannot-go-on", zapcore.ErrorLevel, "The box cannot go on and ends.", "Look at the disk that the error names; start the box again."})
-	SettingsReloaded      = add(Event{"settings-read", zapcore.InfoLevel, "The settings were read again.", "Nothing; addresses of known boxes and the log level are in force, all else after a restart."})
-	SettingsRejected      = add(Event{"settings-refused", zapcore.WarnLevel, "Changed settings have faults; the old ones stay in force.", "Mend what the error names and send SIGHUP."})
-	PlainText             = add(Event{"plain-text", zapcore.WarnLevel, "Box-to-box and operators' traffic goes in plain text, by [peer] plain-text = anywhere.", "Set [tls] where the network is not trusted."})
-	CertificatesReloaded  = add(Event{"certificates-taken", zapcore.InfoLevel, "New certificates are in use.", "Nothing."})
-	CertificatesRejected  = add(Event{"certificates-refused", zapcore.WarnLevel, "Changed certificates cannot be used; the old ones stay in use.", "Mend the files; they are read again by themselves."})
-	TornRecord            = add(Event{"torn-record", zapcore.WarnLevel, "An unacknowledged last record was cut off the log.", "Nothing: the box died while it wrote."})
-	DataFolderFull        = add(Event{"data-folder-full", zapcore.WarnLevel, "The data folder is full; the member pauses.", "Free some space or raise [data] limit."})
-	ClusterFormed         = add(Event{"cluster-formed", zapcore.InfoLevel, "The first members have formed the cluster.", "Nothing; it happens once in a cluster's life."})
-	ClusterJoined         = add(Event{"cluster-joined", zapcore.InfoLevel, "The box is in its cluster.", "Nothing."})
-	BoxListed             = add(Event{"listed", zapcore.InfoLevel, "The agreed list shows the box as it is.", "Nothing."})
-	LeadershipChanged     = add(Event{"leadership-changed", zapcore.InfoLevel, "The box began or ceased to lead.", "Nothing, unless it happens often: then look at the network and disks of the voters."})
-	LevelRaised           = add(Event{"level-raised", zapcore.InfoLevel, "What the boxes' builds have in common has grown, and is used.", "Nothing; builds below the level are refused from now on."})
-	VotersChanging        = add(Event{"voters-changing", zapcore.InfoLevel, "A change of the voters has begun; the old ones are needed until it ends.", "Take no other box away before voters-changed."})
-	VotersChanged         = add(Event{"voters-changed", zapcore.InfoLevel, "The change of the voters has ended.", "Bring the box that was replaced back, or take it away."})
-	BoxRemoved            = add(Event{"box-forgotten", zapcore.InfoLevel, "A silent box was taken off the list.", "Nothing; it is listed again when it comes back."})
-	UpdatesLost           = add(Event{"news-lost", zapcore.WarnLevel, "The box that this one has the agreed state from gave no news.", "Nothing, unless news-regained does not follow: see that the box named in parent runs and can be reached."})
-	UpdatesRestored       = add(Event{"news-regained", zapcore.InfoLevel, "The box has news of the agreed state again.", "Nothing; after tells for how long it had none."})
-	CurrencySourceChanged = add(Event{"current-by", zapcore.InfoLevel, "What shows the box that its state is current has changed.", "Nothing, unless by stays none: the box rejects requests then. known is the newest fleet file that it has heard of; one above file is not in force here."})
-	FleetFileApplied      = add(Event{"file-in-force", zapcore.InfoLevel, "Another fleet file is in force on the box.", "Nothing; agreed is when a leader took it, by that box's clock, held how long this box had it before it served by it, bytes its size."})
-	OrderUnanswered       = add(Event{"order-unanswered", zapcore.WarnLevel, "An order to a model server got no answer.", "Nothing: its room stays counted until the server's state settles it."})
+	Stopping              = add(Event{"stopping", zapcore.InfoLevel, "A planned shutdown begins.", "Nothing; stopped follows."})
+	Stopped               = add(Event{"stopped", zapcore.InfoLevel, "The planned shutdown is complete; no request was aborted.", "Nothing."})
+	RequestsCutOff        = add(Event{"cut-off", zapcore.WarnLevel, "The shutdown aborted requests.", "Raise [entry] stop-timeout above the longest deadline."})
+	CannotStart           = add(Event{"cannot-start", zapcore.ErrorLevel, "The box cannot start.", "Fix what the error names."})
+	FatalError            = add(Event{"cannot-go-on", zapcore.ErrorLevel, "The box cannot continue and exits.", "Check the disk that the error names and restart the box."})
+	SettingsReloaded      = add(Event{"settings-read", zapcore.InfoLevel, "The settings were reloaded.", "Nothing; addresses of known boxes and the log level apply now, all other settings after a restart."})
+	SettingsRejected      = add(Event{"settings-refused", zapcore.WarnLevel, "The changed settings are invalid; the old ones stay active.", "Fix what the error names and send SIGHUP."})
+	PlainText             = add(Event{"plain-text", zapcore.WarnLevel, "Traffic between boxes and with operators is not encrypted, because of [peer] plain-text = anywhere.", "Set [tls] if the network is not trusted."})
+	CertificatesReloaded  = add(Event{"certificates-taken", zapcore.InfoLevel, "New certificates were loaded.", "Nothing."})
+	CertificatesRejected  = add(Event{"certificates-refused", zapcore.WarnLevel, "The changed certificates cannot be loaded; the old ones stay active.", "Fix the files; they are reloaded automatically."})
+	TornRecord            = add(Event{"torn-record", zapcore.WarnLevel, "An unacknowledged last record was truncated from the log.", "Nothing; the box crashed during a write."})
+	DataFolderFull        = add(Event{"data-folder-full", zapcore.WarnLevel, "The data folder is full; the member is paused.", "Free disk space or raise [data] limit."})
+	ClusterFormed         = add(Event{"cluster-formed", zapcore.InfoLevel, "The first members have formed the cluster.", "Nothing; this happens once per cluster."})
+	ClusterJoined         = add(Event{"cluster-joined", zapcore.InfoLevel, "The box has joined its cluster.", "Nothing."})
+	BoxListed             = add(Event{"listed", zapcore.InfoLevel, "The replicated member list has the current data of the box.", "Nothing."})
+	LeadershipChanged     = add(Event{"leadership-changed", zapcore.InfoLevel, "The box became leader or lost the leadership.", "Nothing, unless it happens often: then check the network and the disks of the voters."})
+	LevelRaised           = add(Event{"level-raised", zapcore.InfoLevel, "The boxes have activated a higher feature level.", "Nothing; builds below the level are rejected from now on."})
+	VotersChanging        = add(Event{"voters-changing", zapcore.InfoLevel, "A change of voters has started; the old voters are needed until it completes.", "Remove no other box before voters-changed."})
+	VotersChanged         = add(Event{"voters-changed", zapcore.InfoLevel, "The change of voters is complete.", "Bring the replaced box back or remove it."})
+	BoxRemoved            = add(Event{"box-forgotten", zapcore.InfoLevel, "An unresponsive box was removed from the member list.", "Nothing; it is added again when it returns."})
+	UpdatesLost           = add(Event{"news-lost", zapcore.WarnLevel, "The box that sends the replicated state to this one sent no updates.", "Nothing, unless news-regained does not follow: check that the box named in parent is running and reachable."})
+	UpdatesRestored       = add(Event{"news-regained", zapcore.InfoLevel, "The box receives updates of the replicated state again.", "Nothing; after is how long it received none."})
+	CurrencySourceChanged = add(Event{"current-by", zapcore.InfoLevel, "The source by which the box knows that its state is current has changed.", "Nothing, unless by stays none: the box then rejects requests. known is the index of the newest fleet file that it knows of; if it is above file, that fleet file is not active here yet."})
+	FleetFileApplied      = add(Event{"file-in-force", zapcore.InfoLevel, "The box has activated another fleet file.", "Nothing; agreed is when a leader accepted it, by the leader's clock, held how long this box had it before activating it, bytes its size."})
+	OrderUnanswered       = add(Event{"order-unanswered", zapcore.WarnLevel, "A model server did not respond to an order.", "Nothing; its memory stays reserved until the server's state shows the result."})
 )
 
-// The events of orders.
+// Events of orders.
 var (
-	OrderIssued = add(Event{"order-issued", zapcore.InfoLevel, "Placement decided on an order.", "Nothing; why names what decided it. One that was not issued is decided anew."})
-	OrderClosed = add(Event{"order-closed", zapcore.InfoLevel, "It is known what became of an order.", "Nothing, unless done is false often: see detail."})
+	OrderIssued = add(Event{"order-issued", zapcore.InfoLevel, "Placement has decided on an order.", "Nothing; why names the reason. An order that was not issued is decided again."})
+	OrderClosed = add(Event{"order-closed", zapcore.InfoLevel, "The result of an order is known.", "Nothing, unless done is often false: see detail."})
 )
 
-// The events of announced backend servers.
+// Events of announced backend servers.
 var (
-	ServerAnnounced    = add(Event{"server-announced", zapcore.InfoLevel, "What a backend server says of itself was agreed.", "Nothing."})
-	ServerWithdrew     = add(Event{"server-withdrew", zapcore.InfoLevel, "A backend server said that it is gone.", "Nothing."})
-	ServerLimited      = add(Event{"server-limited", zapcore.InfoLevel, "A backend server names another limit of requests than before, or none any more.", "See the server: it takes no more than limit, in requests a second over all boxes; 0 is no limit."})
-	LimitCommitted     = add(Event{"limit-agreed", zapcore.InfoLevel, "All boxes hold to another limit of a backend server, or to none any more.", "See the server: it said so in its answers."})
-	LimitMalformed     = add(Event{"limit-malformed", zapcore.WarnLevel, "A backend server names a limit that cannot be read, or lies outside of what is taken.", "Mend the server; limit is what is held to, 0 where what it said is passed over."})
-	ServerInBackoff    = add(Event{"server-resting", zapcore.InfoLevel, "A backend server turned a request away and wants no more from this box for a time.", "Nothing; if it recurs, see the server's load. rest is what it asked for, request the one that it answered."})
-	ServerBackoffEnded = add(Event{"server-rested", zapcore.InfoLevel, "A backend server takes requests of this box again after its rest.", "Nothing; rested is how long it asked for in all, late how much later it was tried."})
-	ServerDraining     = add(Event{"server-draining", zapcore.InfoLevel, "A backend server said in an answer that it is about to end.", "Nothing."})
-	PushbackMalformed  = add(Event{"pushback-malformed", zapcore.WarnLevel, "A backend server's answer names a rest, or tells of its end, in a way that cannot be read or is out of range.", "Fix the server; what cannot be read is ignored."})
-	HallEvacuated      = add(Event{"hall-evacuated", zapcore.InfoLevel, "Operators had a data hall evacuated, or took that back.", "Nothing; while it holds nothing goes to the hall's backend servers."})
-	ServerUnresponsive = add(Event{"server-silent", zapcore.InfoLevel, "A backend server was not heard for a time.", "See whether it runs and reaches a box."})
+	ServerAnnounced    = add(Event{"server-announced", zapcore.InfoLevel, "The announcement of a backend server was committed.", "Nothing."})
+	ServerWithdrew     = add(Event{"server-withdrew", zapcore.InfoLevel, "A backend server announced its termination.", "Nothing."})
+	ServerLimited      = add(Event{"server-limited", zapcore.InfoLevel, "A backend server reports a changed request limit, or none any more.", "Check the server: it accepts at most limit requests per second from all boxes together; 0 means no limit."})
+	LimitCommitted     = add(Event{"limit-agreed", zapcore.InfoLevel, "All boxes apply a changed limit of a backend server, or none any more.", "Check the server: it reported this in its responses."})
+	LimitMalformed     = add(Event{"limit-malformed", zapcore.WarnLevel, "A backend server reports a limit that is malformed or out of range.", "Fix the server; limit is the limit applied, 0 if the report is ignored."})
+	ServerInBackoff    = add(Event{"server-resting", zapcore.InfoLevel, "A backend server rejected a request and asked this box to back off.", "Nothing; if it recurs, check the server's load. rest is the requested backoff, request the rejected request."})
+	ServerBackoffEnded = add(Event{"server-rested", zapcore.InfoLevel, "A backend server accepts requests of this box again after a backoff.", "Nothing; rested is the total backoff that it requested, late how long after its end the server was probed."})
+	ServerDraining     = add(Event{"server-draining", zapcore.InfoLevel, "A backend server reported in a response that it is draining.", "Nothing."})
+	PushbackMalformed  = add(Event{"pushback-malformed", zapcore.WarnLevel, "A backend server's response has a backoff or draining notice that is malformed or out of range.", "Fix the server; malformed values are ignored."})
+	HallEvacuated      = add(Event{"hall-evacuated", zapcore.InfoLevel, "Operators started or ended the evacuation of a data hall.", "Nothing; during the evacuation the hall's backend servers get no requests or loads."})
+	ServerUnresponsive = add(Event{"server-silent", zapcore.InfoLevel, "A backend server has not been heard from for a while.", "Check that it is running and can reach a box."})
 )
 
-// The events of the platform's calls.
+// Events of calls by the platform.
 var (
-	ConfigurationAccepted       = add(Event{"configuration-taken", zapcore.InfoLevel, "A configuration was acknowledged.", "Nothing; outcome says whether it changed anything."})
-	ConfigurationUnacknowledged = add(Event{"configuration-unsure", zapcore.WarnLevel, "A configuration was not acknowledged.", "Send the same one again; that settles it."})
-	CallMalformed               = add(Event{"call-malformed", zapcore.WarnLevel, "A call could not be read and changed nothing.", "Find out who sends it."})
+	ConfigurationAccepted       = add(Event{"configuration-taken", zapcore.InfoLevel, "A configuration from the platform was acknowledged.", "Nothing; outcome says whether it changed anything."})
+	ConfigurationUnacknowledged = add(Event{"configuration-unsure", zapcore.WarnLevel, "A configuration from the platform was not acknowledged.", "Send the same configuration again to get a definite result."})
+	CallMalformed               = add(Event{"call-malformed", zapcore.WarnLevel, "A call was malformed and had no effect.", "Find out who sends it."})
 )
 
-// The events of requests.
+// Events of requests.
 var (
-	RequestDone    = add(Event{"request-done", zapcore.DebugLevel, "A request got its server's answer.", "Nothing; waited, first and longest tell where its time went."})
-	RequestRefused = add(Event{"request-refused", zapcore.InfoLevel, "A request was refused before a server was looked for.", "See its outcome in docs/REASONS.md; number is the configuration that decided."})
-	RequestRetried = add(Event{"request-retried", zapcore.InfoLevel, "A sending of a request failed; the request goes to a server again.", "Nothing; outcome tells what became of the sending, why what allowed another. print is the same for all attempts of one request."})
-	RequestFailed  = add(Event{"request-failed", zapcore.InfoLevel, "A request ended without a server's whole answer.", "See its outcome in docs/REASONS.md and what its server did. print is the same for all attempts of one request."})
+	RequestDone    = add(Event{"request-done", zapcore.DebugLevel, "A request was answered by its server.", "Nothing; waited, first and longest show where the time was spent."})
+	RequestRefused = add(Event{"request-refused", zapcore.InfoLevel, "A request was rejected before a server was selected.", "See its outcome in docs/REASONS.md; number is the configuration it was checked against."})
+	RequestRetried = add(Event{"request-retried", zapcore.InfoLevel, "An attempt of a request failed; the request is retried.", "Nothing; outcome is the result of the attempt, why the reason that permits a retry. print is the same for all attempts of a request."})
+	RequestFailed  = add(Event{"request-failed", zapcore.InfoLevel, "A request ended without a complete response from a server.", "See its outcome in docs/REASONS.md and the logs of its server. print is the same for all attempts of a request."})
 )
 
-// The events of requests under which servers end.
+// Events of requests that crash backend servers.
 var (
-	CrashDetected   = add(Event{"crash-seen", zapcore.InfoLevel, "A backend server ended while requests of this box, or a load, were at it.", "Nothing; prints name them, weak those that had run for long."})
-	CrasherBlocked  = add(Event{"crasher-held", zapcore.WarnLevel, "A request is kept from servers: they ended, one after another, while they ran it.", "See docs/OPERATIONS.md: find its caller by the print, and what is wrong with it by the servers' own logs."})
-	CrasherReleased = add(Event{"crasher-released", zapcore.InfoLevel, "A request that was kept from servers may go to one again.", "Nothing; one more end under it and it is kept from them for twice the time."})
+	CrashDetected   = add(Event{"crash-seen", zapcore.InfoLevel, "A backend server terminated while it ran requests of this box or a load.", "Nothing; prints lists them, weak those that had been running for a long time."})
+	CrasherBlocked  = add(Event{"crasher-held", zapcore.WarnLevel, "A request is blocked from all servers because several of them terminated while running it.", "See docs/OPERATIONS.md: find its caller by the print, and the cause in the servers' own logs."})
+	CrasherReleased = add(Event{"crasher-released", zapcore.InfoLevel, "A blocked request may be sent to a server again.", "Nothing; if another server terminates while running it, it is blocked for twice as long."})
 )
 
 var table []Event
@@ -104,7 +104,7 @@
 // All returns the table.
 func All() []Event { return table }
 
-// ErrorField is the field of an error: its text alone, without the way that it took.
+// ErrorField returns a field with the message of err, without its stack trace.
 func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
@@ -112,7 +112,7 @@
 	return zap.String("error", err.Error())
 }
 
-// Log writes the event's line, with its code.
-func (e *Event) Log(log *zap.Logger, fields ...zap.Field) {
-	log.Log(e.Level, e.Title, append(fields, zap.String("event", e.Code))...)
+// Log logs the event with its code.
+func (e *Event) Log(logger *zap.Logger, fields ...zap.Field) {
+	logger.Log(e.Level, e.Title, append(fields, zap.String("event", e.Code))...)
 }
