--- a/record/record.go
+++ b/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps the newest decisions of a box, so that an operator can
-// ask what was decided and why.
+// Package record keeps the latest decisions of a box, so that operators can
+// query what was decided and why.
 package record
 
 import (
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Kind says what a decision is about.
+// Kind is the kind of a decision's subject.
 type Kind string
 
-// The kinds.
+// Kinds of decisions.
 const (
-	// Request decisions concern one request, under its id.
+	// Request decisions concern a single request. The subject is its ID.
 	Request Kind = "request"
-	// Model decisions concern where a model or adapter stands, under its name.
+	// Model decisions concern the placement of a model or adapter. The subject is its name.
 	Model Kind = "model"
-	// Server decisions concern a backend server, under its name.
+	// Server decisions concern a backend server. The subject is its name.
 	Server Kind = "server"
 )
 
-// Decision is one thing that was decided.
+// Decision is a recorded decision.
 type Decision struct {
 	Time    time.Time `json:"time"`
 	Kind    Kind      `json:"kind"`
@@ -29,7 +29,7 @@
 	Reason  string    `json:"reason"`
 }
 
-// History holds the newest decisions of each kind.
+// History holds the latest decisions of each kind.
 type History struct {
 	mu    sync.Mutex
 	limit int
@@ -37,43 +37,44 @@
 }
 
 type ring struct {
-	list []Decision
-	next int
+	decisions []Decision
+	next      int
 }
 
-// NewHistory returns a book that keeps up to limit decisions of each kind.
+// NewHistory returns a history that keeps up to limit decisions of each kind.
 func NewHistory(limit int) *History { return &History{limit: limit, rings: map[Kind]*ring{}} }
 
-// Add writes a decision down.
-func (b *History) Add(kind Kind, about, what, why string) {
-	d := Decision{time.Now(), kind, about, what, why}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.rings[kind]
+// Add records a decision.
+func (h *History) Add(kind Kind, subject, summary, reason string) {
+	d := Decision{time.Now(), kind, subject, summary, reason}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	r := h.rings[kind]
 	if r == nil {
 		r = &ring{}
-		b.rings[kind] = r
+		h.rings[kind] = r
 	}
-	if len(r.list) < b.limit {
-		r.list = append(r.list, d)
+	if len(r.decisions) < h.limit {
+		r.decisions = append(r.decisions, d)
 		return
 	}
-	r.list[r.next] = d
-	r.next = (r.next + 1) % b.limit
+	r.decisions[r.next] = d
+	r.next = (r.next + 1) % h.limit
 }
 
-// ByName returns what is remembered of a request, model or server, oldest first.
-func (b *History) ByName(name string) []Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// ByName returns the recorded decisions on a model, server or request, in this
+// order of kinds and oldest first within each kind.
+func (h *History) ByName(name string) []Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var found []Decision
 	for _, kind := range []Kind{Model, Server, Request} {
-		r := b.rings[kind]
+		r := h.rings[kind]
 		if r == nil {
 			continue
 		}
-		for i := range r.list {
-			if d := r.list[(r.next+i)%len(r.list)]; d.Subject == name {
+		for i := range r.decisions {
+			if d := r.decisions[(r.next+i)%len(r.decisions)]; d.Subject == name {
 				found = append(found, d)
 			}
 		}
