--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter holds the metrics of a box. The table below is the only place
-// where a metric is defined; the docs are made from it.
+// Package meter provides the metrics of a box. All metrics are defined in the table
+// below, from which the documentation is generated.
 package meter
 
 import (
@@ -12,10 +12,10 @@
 	"leverdrum/reason"
 )
 
-// Kind is a metric's kind.
+// Kind is the type of a metric.
 type Kind string
 
-// The kinds.
+// Kinds of metrics.
 const (
 	Counter   Kind = "counter"
 	Gauge     Kind = "gauge"
@@ -30,33 +30,33 @@
 	Labels []string
 }
 
-// The metrics.
+// Metrics of a box.
 var (
 	Refusals           = Metric{"leverdrum_refusals_total", Counter, "Refusals by reason; see the table of reasons.", []string{"reason"}}
-	Retries            = Metric{"leverdrum_retries_total", Counter, "Requests sent once more, by reason.", []string{"reason"}}
-	RetriesDenied      = Metric{"leverdrum_retries_denied_total", Counter, "Retries that the budget did not allow.", nil}
+	Retries            = Metric{"leverdrum_retries_total", Counter, "Retried requests by reason.", []string{"reason"}}
+	RetriesDenied      = Metric{"leverdrum_retries_denied_total", Counter, "Retries denied by the retry budget.", nil}
 	Requests           = Metric{"leverdrum_requests_total", Counter, "Requests by class and outcome.", []string{"class", "outcome"}}
-	RequestsInTime     = Metric{"leverdrum_requests_in_time_total", Counter, "Requests answered whole within the deadline of their class, streams with their first event in time.", []string{"class"}}
-	RequestDuration    = Metric{"leverdrum_request_seconds", Histogram, "Time from arrival to the end of the answer.", []string{"class"}}
-	RequestsInFlight   = Metric{"leverdrum_requests_in_flight", Gauge, "Requests being served.", nil}
-	StateIndex         = Metric{"leverdrum_state_index", Gauge, "Index of the agreed state in force on this box.", nil}
-	FleetNumber        = Metric{"leverdrum_fleet_number", Gauge, "Number of the fleet file in force on this box.", nil}
-	IsLeader           = Metric{"leverdrum_leads", Gauge, "1 on the box that leads.", nil}
-	Current            = Metric{"leverdrum_current", Gauge, "1 while the box may act on its configuration.", nil}
-	Elections          = Metric{"leverdrum_leaderships_total", Counter, "Times that this box became leader.", nil}
+	RequestsInTime     = Metric{"leverdrum_requests_in_time_total", Counter, "Requests answered completely within the deadline of their class; for streams the first event counts.", []string{"class"}}
+	RequestDuration    = Metric{"leverdrum_request_seconds", Histogram, "Time from arrival of the request to the end of the response.", []string{"class"}}
+	RequestsInFlight   = Metric{"leverdrum_requests_in_flight", Gauge, "Requests in progress.", nil}
+	StateIndex         = Metric{"leverdrum_state_index", Gauge, "Index of the replicated state applied by this box.", nil}
+	FleetNumber        = Metric{"leverdrum_fleet_number", Gauge, "Number of the fleet file active on this box.", nil}
+	IsLeader           = Metric{"leverdrum_leads", Gauge, "1 on the leader.", nil}
+	Current            = Metric{"leverdrum_current", Gauge, "1 while the configuration of the box counts as current.", nil}
+	Elections          = Metric{"leverdrum_leaderships_total", Counter, "Number of times that this box became leader.", nil}
 	Orders             = Metric{"leverdrum_orders_total", Counter, "Orders to model servers by action and outcome.", []string{"action", "outcome"}}
-	Ejections          = Metric{"leverdrum_ejections_total", Counter, "Times that a backend server was taken out for failing.", nil}
+	Ejections          = Metric{"leverdrum_ejections_total", Counter, "Number of times that a backend server was ejected because of failures.", nil}
 	PeerBytes          = Metric{"leverdrum_peer_bytes_total", Counter, "Bytes between boxes, by direction.", []string{"direction"}}
 	PeerMessages       = Metric{"leverdrum_peer_messages_total", Counter, "Messages between boxes, by direction.", []string{"direction"}}
-	PeerAbandonedBytes = Metric{"leverdrum_peer_given_up_bytes_total", Counter, "Bytes that came from other boxes while their answers were waited for in vain.", nil}
-	CrashReports       = Metric{"leverdrum_crash_signs_total", Counter, "Requests of this box that were at a backend server when it ended, by the weight of that sign.", []string{"weight"}}
-	CrashersBlocked    = Metric{"leverdrum_crashers_held", Gauge, "Requests that are kept from backend servers, because these ended while they ran them.", nil}
-	InvalidReports     = Metric{"leverdrum_strange_words_total", Counter, "Words of backend servers, or of other writers, that name no server to use, by what is wrong with them.", []string{"why"}}
-	BuildInfo          = Metric{"leverdrum_build_info", Gauge, "1, with the build that the box runs and the newest level that it knows.", []string{"build", "level"}}
-	ActiveLevel        = Metric{"leverdrum_level", Gauge, "The level in force, as far as the box knows.", nil}
-	WorkspaceRequests  = Metric{"leverdrum_workspace_requests_total", Counter, "Requests by workspace, and whether its quota bore them or why not; beyond a thousand workspaces the rest together.", []string{"workspace", "outcome"}}
-	LimitedAttempts    = Metric{"leverdrum_limited_total", Counter, "Sendings to backend servers that name a limit, and whether it bore them.", []string{"outcome"}}
-	ServerLimits       = Metric{"leverdrum_server_limits", Gauge, "Backend servers whose limits are agreed.", nil}
+	PeerAbandonedBytes = Metric{"leverdrum_peer_given_up_bytes_total", Counter, "Bytes received from other boxes for calls that were abandoned before their response was complete.", nil}
+	CrashReports       = Metric{"leverdrum_crash_signs_total", Counter, "Requests of this box that a backend server was running when it terminated, by weight of this evidence.", []string{"weight"}}
+	CrashersBlocked    = Metric{"leverdrum_crashers_held", Gauge, "Requests blocked because backend servers terminated while running them.", nil}
+	InvalidReports     = Metric{"leverdrum_strange_words_total", Counter, "Reports of backend servers or other senders that do not identify a usable server, by error.", []string{"why"}}
+	BuildInfo          = Metric{"leverdrum_build_info", Gauge, "Always 1; the labels are the build of the box and the newest level that it supports.", []string{"build", "level"}}
+	ActiveLevel        = Metric{"leverdrum_level", Gauge, "Active level as known to the box.", nil}
+	WorkspaceRequests  = Metric{"leverdrum_workspace_requests_total", Counter, "Requests by workspace, and whether its quota permitted them or why not; beyond 1000 workspaces the rest are counted together.", []string{"workspace", "outcome"}}
+	LimitedAttempts    = Metric{"leverdrum_limited_total", Counter, "Attempts to backend servers that report a limit, and whether the limit permitted them.", []string{"outcome"}}
+	ServerLimits       = Metric{"leverdrum_server_limits", Gauge, "Backend servers with a committed limit.", nil}
 	Claims             = Metric{"leverdrum_claims_total", Counter, "Claims on keyed calls by verdict.", []string{"verdict"}}
 )
 
@@ -68,24 +68,24 @@
 	}
 }
 
-// Meters are the metrics of one box.
+// Meters holds the registered metrics of one box.
 type Meters struct {
-	registry   *prometheus.Registry
-	counters   map[string]*prometheus.CounterVec
-	gauges     map[string]*prometheus.GaugeVec
-	histograms map[string]*prometheus.HistogramVec
-	named      *names // of workspaces
+	registry       *prometheus.Registry
+	counters       map[string]*prometheus.CounterVec
+	gauges         map[string]*prometheus.GaugeVec
+	histograms     map[string]*prometheus.HistogramVec
+	workspaceNames *names // of workspaces
 }
 
-// durationBuckets are in seconds.
+// durationBuckets are histogram bucket boundaries in seconds.
 var durationBuckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30, 60}
 
-// New registers all metrics, and shows each reason's counter from the start.
+// New registers all metrics and initializes the counter of each reason, so that it is exported from the start.
 func New() *Meters {
 	m := &Meters{
 		registry: prometheus.NewRegistry(), counters: map[string]*prometheus.CounterVec{},
 		gauges: map[string]*prometheus.GaugeVec{}, histograms: map[string]*prometheus.HistogramVec{},
-		named: newNames(namesMost),
+		workspaceNames: newNames(maxNames),
 	}
 	for _, d := range All() {
 		m.register(d)
@@ -118,17 +118,17 @@
 	}
 }
 
-// Count returns a counter.
+// Count returns the counter of d with the given label values.
 func (m *Meters) Count(d Metric, labels ...string) prometheus.Counter {
 	return m.counters[d.Name].WithLabelValues(labels...)
 }
 
-// Gauge returns a gauge.
+// Gauge returns the gauge of d with the given label values.
 func (m *Meters) Gauge(d Metric, labels ...string) prometheus.Gauge {
 	return m.gauges[d.Name].WithLabelValues(labels...)
 }
 
-// Observer returns a histogram's observer.
+// Observer returns the histogram of d with the given label values.
 func (m *Meters) Observer(d Metric, labels ...string) prometheus.Observer {
 	return m.histograms[d.Name].WithLabelValues(labels...)
 }
--- a/meter/names.go
+++ b/meter/names.go
@@ -3,42 +3,42 @@
 import "sync"
 
 const (
-	// namesMost is how many workspaces have counters of their own: each takes some 200 bytes a counter.
-	namesMost = 1000
-	// otherNames stands for the rest.
+	// maxNames is the number of workspaces with their own counters. Each takes about 200 bytes per counter.
+	maxNames = 1000
+	// otherNames is the label for all other workspaces.
 	otherNames = "others"
 )
 
-// names are the first so many names that came.
+// names is the set of the first names seen, up to a limit.
 type names struct {
-	most int
+	limit int
 
 	mu  sync.Mutex
 	set map[string]bool
 }
 
-func newNames(most int) *names { return &names{most: most, set: map[string]bool{}} }
+func newNames(limit int) *names { return &names{limit: limit, set: map[string]bool{}} }
 
-// of returns the name, or what stands for the rest.
-func (n *names) of(name string) string {
+// resolve returns the name, or otherNames if the set is full and lacks it.
+func (n *names) resolve(name string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.set[name] {
 		return name
 	}
-	if len(n.set) >= n.most {
+	if len(n.set) >= n.limit {
 		return otherNames
 	}
 	n.set[name] = true
 	return name
 }
 
-// CountWorkspace counts a request of a workspace that ended with an outcome: a reason's code, or Borne.
+// CountWorkspace counts a request of a workspace that ended with an outcome: a reason code, or Permitted.
 func (m *Meters) CountWorkspace(workspace, outcome string) {
-	m.Count(WorkspaceRequests, m.named.of(workspace), outcome).Inc()
+	m.Count(WorkspaceRequests, m.workspaceNames.resolve(workspace), outcome).Inc()
 }
 
-// The outcomes of requests that a limit bore, and of those that it did not.
+// Outcomes of requests that a limit permitted or denied.
 const (
 	Permitted = "borne"
 	Denied    = "not-borne"
--- a/meter/names_test.go
+++ b/meter/names_test.go
@@ -7,10 +7,10 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 )
 
-func TestTheNamesOfWorkspacesAreBounded(t *testing.T) {
+func TestWorkspaceNamesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	m := New()
-	m.named = newNames(2)
+	m.workspaceNames = newNames(2)
 	for _, name := range []string{"a", "b", "c", "d", "a"} {
 		m.CountWorkspace(name, Permitted)
 	}
