--- a/logline/logline.go
+++ b/logline/logline.go
@@ -1,13 +1,13 @@
-// Package logline writes log lines without ever holding up those who log.
+// Package logline writes log lines asynchronously, so that logging never blocks.
 //
 // Rules:
 //
-//  1. A line is queued and written by one goroutine. When the queue is full the line
-//     is dropped: a reader of the output that stops reading costs lines, not time.
-//  2. What was dropped is counted, and said in a line of its own as soon as lines can
-//     be written again.
-//  3. Lines of failures have a queue of their own, so that calm lines do not crowd
-//     them out.
+//  1. Lines are queued and written by a single goroutine. If the queue is full, the
+//     line is dropped: a reader of the output that stops reading costs lines, not time.
+//  2. Dropped lines are counted. A separate line reports the count as soon as lines
+//     can be written again.
+//  3. Lines of level info and above have a separate queue with priority, so that
+//     debug lines do not crowd them out.
 package logline
 
 import (
@@ -20,34 +20,34 @@
 )
 
 const (
-	// queueLength bounds the lines that wait in each queue.
+	// queueLength is the capacity of each queue in lines.
 	queueLength = 2048
-	// flushWait bounds the wait for waiting lines at the end of the process.
+	// flushWait limits the wait for queued lines at process exit.
 	flushWait = 300 * time.Millisecond
 )
 
-// Writer queues lines for an output.
+// Writer queues lines and writes them to an output.
 type Writer struct {
-	out     io.Writer
-	calm    chan []byte
-	grave   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64 // dropped since the start
-	idle    chan struct{}
+	out      io.Writer
+	debug    chan []byte
+	priority chan []byte
+	dropped  atomic.Int64
+	total    atomic.Int64 // dropped since the start
+	idle     chan struct{}
 }
 
-// New returns a writer to out; its goroutine goes on for the life of the process.
+// New returns a writer to out. Its goroutine runs until the process exits.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, calm: make(chan []byte, queueLength), grave: make(chan []byte, queueLength), idle: make(chan struct{})}
+	w := &Writer{out: out, debug: make(chan []byte, queueLength), priority: make(chan []byte, queueLength), idle: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (w *Writer) Dropped() int64 { return w.total.Load() }
 
-// put is rule 1.
-func (w *Writer) put(queue chan []byte, line []byte) {
+// enqueue queues a line, or drops it if the queue is full (1).
+func (w *Writer) enqueue(queue chan []byte, line []byte) {
 	select {
 	case queue <- line:
 	default:
@@ -59,22 +59,23 @@
 func (w *Writer) run() {
 	for {
 		select { // (3)
-		case line := <-w.grave:
+		case line := <-w.priority:
 			w.write(line)
 			continue
 		default:
 		}
 		select {
-		case line := <-w.grave:
+		case line := <-w.priority:
 			w.write(line)
-		case line := <-w.calm:
+		case line := <-w.debug:
 			w.write(line)
 		case w.idle <- struct{}{}:
 		}
 	}
 }
 
-// write is rule 2. An output that fails cannot be told so.
+// write writes a line, after a report of lines dropped since the last one (2). Write errors
+// are ignored, since there is no other output to report them to.
 func (w *Writer) write(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(w.out, `{"level":"warn","event":"lines-dropped","msg":"Log lines were dropped: their reader was too slow.","count":%d}`+"\n", n)
@@ -82,7 +83,7 @@
 	_, _ = w.out.Write(line)
 }
 
-// flush waits a moment for the queued lines.
+// flush waits for the queued lines, but at most flushWait.
 func (w *Writer) flush() {
 	select {
 	case <-w.idle:
@@ -90,19 +91,19 @@
 	}
 }
 
-// core encodes lines and queues them by their level.
+// core encodes lines and queues them by level.
 type core struct {
 	zapcore.LevelEnabler
 	enc zapcore.Encoder
 	w   *Writer
 }
 
-// Core returns a zap core that writes lines of the level and above through w.
+// Core returns a zap core that writes lines at or above the level through w.
 func Core(enc zapcore.Encoder, w *Writer, level zapcore.LevelEnabler) zapcore.Core {
 	return &core{level, enc, w}
 }
 
-// With returns a core whose lines carry the fields.
+// With returns a core that adds the fields to each line.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
 	next := &core{c.LevelEnabler, c.enc.Clone(), c.w}
 	for _, f := range fields {
@@ -111,7 +112,7 @@
 	return next
 }
 
-// Check adds the core to those that write a line.
+// Check adds the core to ce if the entry's level is enabled.
 func (c *core) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return ce.AddCore(e, c)
@@ -119,7 +120,7 @@
 	return ce
 }
 
-// Write queues a line.
+// Write encodes and queues a line.
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
 	buf, err := c.enc.EncodeEntry(e, fields)
 	if err != nil {
@@ -127,15 +128,15 @@
 	}
 	line := append([]byte(nil), buf.Bytes()...)
 	buf.Free()
-	queue := c.w.calm
+	queue := c.w.debug
 	if e.Level >= zapcore.InfoLevel {
-		queue = c.w.grave
+		queue = c.w.priority
 	}
-	c.w.put(queue, line)
+	c.w.enqueue(queue, line)
 	return nil
 }
 
-// Sync waits a moment for the queued lines.
+// Sync waits for the queued lines, but at most flushWait.
 func (c *core) Sync() error {
 	c.w.flush()
 	return nil
--- a/logline/logline_test.go
+++ b/logline/logline_test.go
@@ -23,38 +23,38 @@
 	return zap.New(logline.Core(enc, w, zapcore.DebugLevel))
 }
 
-// toldOf matches a line that tells of dropped lines.
-var toldOf = regexp.MustCompile(`"event":"lines-dropped","msg":"Log lines were dropped: their reader was too slow.","count":(\d+)}`)
+// dropReport matches a line that reports dropped lines.
+var dropReport = regexp.MustCompile(`"event":"lines-dropped","msg":"Log lines were dropped: their reader was too slow.","count":(\d+)}`)
 
-// gate is an output whose writes wait until they are let through.
-type gate struct {
-	entered atomic.Int64  // writes begun
-	through chan struct{} // one write for each message, all once it is closed
+// gatedOutput is an output whose writes block until they are released.
+type gatedOutput struct {
+	entered atomic.Int64  // writes started
+	release chan struct{} // each message releases one write; closing it releases all
 
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func newGate() *gate { return &gate{through: make(chan struct{})} }
+func newGatedOutput() *gatedOutput { return &gatedOutput{release: make(chan struct{})} }
 
-func (g *gate) open() { close(g.through) }
+func (g *gatedOutput) open() { close(g.release) }
 
-func (g *gate) Write(b []byte) (int, error) {
+func (g *gatedOutput) Write(b []byte) (int, error) {
 	g.entered.Add(1)
-	<-g.through
+	<-g.release
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(b)
 }
 
-func (g *gate) String() string {
+func (g *gatedOutput) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
-func TestLinesComeWithTheirFields(t *testing.T) {
-	out := newGate()
+func TestLinesHaveTheirFields(t *testing.T) {
+	out := newGatedOutput()
 	out.open()
 	log := logger(logline.New(out)).With(zap.String("box", "b1"))
 	log.Info("one", zap.Int("n", 7))
@@ -63,75 +63,75 @@
 	g.Eventually(out.String, 5*time.Second).Should(And(ContainSubstring(`"box":"b1"`), ContainSubstring(`"n":7`)))
 }
 
-// said returns how many dropped lines the output tells of, in how many lines of its own.
-func said(text string) (dropped, told int64) {
-	for _, found := range toldOf.FindAllStringSubmatch(text, -1) {
+// reportedDrops returns the number of dropped lines that the output reports, and the number of such reports.
+func reportedDrops(text string) (dropped, reports int64) {
+	for _, found := range dropReport.FindAllStringSubmatch(text, -1) {
 		n, err := strconv.ParseInt(found[1], 10, 64)
 		if err != nil {
 			panic(err) // only digits match
 		}
 		dropped += n
-		told++
+		reports++
 	}
-	return dropped, told
+	return dropped, reports
 }
 
-// floods logs more lines than a queue holds while the output is shut, opens it and says
-// that each line either came or was told of.
-func floods(t *testing.T, out *gate, w *logline.Writer, logged int64) {
+// testFlood logs more lines than a queue holds while the output is blocked, opens the output and
+// checks that each line was either written or reported as dropped.
+func testFlood(t *testing.T, out *gatedOutput, w *logline.Writer, logged int64) {
 	g := NewWithT(t)
 	log := logger(w)
 	const lines = 5000
 	for i := range lines {
-		log.Debug("calm", zap.Int("n", i))
+		log.Debug("debug line", zap.Int("n", i))
 	}
-	log.Warn("grave")
+	log.Warn("warning")
 	g.Expect(w.Dropped()).To(BeNumerically(">", 2000))
 	out.open()
-	g.Eventually(func() int64 { dropped, _ := said(out.String()); return dropped }, 5*time.Second).Should(Equal(w.Dropped()))
-	g.Expect(out.String()).To(ContainSubstring(`"msg":"grave"`), "calm lines do not crowd out grave ones")
+	g.Eventually(func() int64 { dropped, _ := reportedDrops(out.String()); return dropped }, 5*time.Second).Should(Equal(w.Dropped()))
+	g.Expect(out.String()).To(ContainSubstring(`"msg":"warning"`), "debug lines do not crowd out those of higher levels")
 	g.Eventually(func() int64 {
 		text := out.String()
-		_, told := said(text)
-		return int64(strings.Count(text, "\n")) - told
+		_, reports := reportedDrops(text)
+		return int64(strings.Count(text, "\n")) - reports
 	}, 5*time.Second).Should(Equal(logged + lines + 1 - w.Dropped()))
 }
 
-// The writer is held up in a line before the flood: all that is dropped is told at once.
-func TestWhatIsDroppedIsSaid(t *testing.T) {
+// The writer is blocked in a line before the flood, so a single line reports all dropped lines.
+func TestDroppedLinesAreReported(t *testing.T) {
 	g := NewWithT(t)
-	out := newGate()
+	out := newGatedOutput()
 	w := logline.New(out)
-	logger(w).Debug("holds the writer up")
+	logger(w).Debug("blocks the writer")
 	g.Eventually(out.entered.Load, 5*time.Second).Should(BeNumerically("==", 1))
-	floods(t, out, w, 1)
-	_, told := said(out.String())
-	g.Expect(told).To(BeNumerically("==", 1))
+	testFlood(t, out, w, 1)
+	_, reports := reportedDrops(out.String())
+	g.Expect(reports).To(BeNumerically("==", 1))
 }
 
-// The writer is held up while it tells of dropped lines, and more are dropped: in CI it
-// ran for the first time in the middle of the flood, and told of 257 and 2,694 lines.
-func TestWhatIsDroppedMeanwhileIsSaidToo(t *testing.T) {
+// Lines that are dropped while the writer is blocked in a report are reported too. In CI the
+// writer first ran in the middle of the flood and reported 257 and 2,694 lines.
+func TestLinesDroppedDuringReportAreReported(t *testing.T) {
 	g := NewWithT(t)
-	out := newGate()
+	out := newGatedOutput()
 	w := logline.New(out)
 	log := logger(w)
-	log.Debug("holds the writer up")
+	log.Debug("blocks the writer")
 	g.Eventually(out.entered.Load, 5*time.Second).Should(BeNumerically("==", 1))
 	var logged int64 = 1
 	for ; w.Dropped() == 0; logged++ {
-		log.Debug("calm")
+		log.Debug("debug line")
 	}
-	out.through <- struct{}{}
+	out.release <- struct{}{}
 	g.Eventually(out.entered.Load, 5*time.Second).Should(BeNumerically(">", 1))
-	floods(t, out, w, logged)
-	_, told := said(out.String())
-	g.Expect(told).To(BeNumerically(">=", 2))
+	testFlood(t, out, w, logged)
+	_, reports := reportedDrops(out.String())
+	g.Expect(reports).To(BeNumerically(">=", 2))
 }
 
-func TestAFullPipeHoldsUpNobody(t *testing.T) {
+func TestFullPipeDoesNotBlock(t *testing.T) {
 	g := NewWithT(t)
-	r, out, err := os.Pipe() // nobody reads
+	r, out, err := os.Pipe() // never read
 	g.Expect(err).NotTo(HaveOccurred())
 	defer r.Close()
 	defer out.Close()
