--- a/level/level.go
+++ b/level/level.go
@@ -1,58 +1,60 @@
-// Package level numbers what all boxes must know before any of them acts on it, so that builds of
-// different levels agree on the same state while one replaces the other.
+// Package level defines feature levels. A level numbers features that all boxes must support before
+// any of them uses them, so that builds of different levels derive the same state during an upgrade.
 //
 // Rules:
 //
-//  1. The level in force is part of the agreed state, 0 at first. It changes by an entry of the log
-//     alone, and never back.
-//  2. What a level brings is not proposed, and what is agreed is not read by it, below that level: a
-//     state at an index is the same for every build that knows the level in force.
-//  3. The leader raises the level once every listed box says that its build knows the next one, and
-//     has said so for a time that operators set: until then the build before can be brought back.
-//     Where no fleet file was ever in force there is nothing to bring back, and it raises at once.
-//  4. A box that is away is listed until it has been silent for a minute. One that comes back later
-//     with a build below the level in force is refused by those that know it, by name.
-//  5. A box that meets an entry, or a snapshot, of a level that its build does not know stops, since
-//     it cannot hold the state that the others hold from there on.
+//  1. The active level is part of the replicated state and starts at 0. It changes only by a log
+//     entry and never decreases.
+//  2. Below a level, its features are not proposed, and committed entries are not interpreted by its
+//     rules: the state at an index is the same for every build that supports the active level.
+//  3. The leader raises the level once every listed box has reported, for a time set by operators,
+//     that its build supports the next level. Until then operators can roll back to the previous
+//     build. If no fleet file was ever active there is nothing to roll back, and the leader raises
+//     the level immediately.
+//  4. A disconnected box stays listed until it has been unresponsive for a minute. If it returns later
+//     with a build below the active level, boxes that support the level reject it by name.
+//  5. A box that receives an entry or a snapshot of a level that its build does not support stops,
+//     since it cannot derive the same state as the others from there on.
 package level
 
 import "fmt"
 
-// Level is a number of the table.
+// Level is a feature level.
 type Level uint32
 
-// The levels.
+// Feature levels.
 const (
-	// First is what a build without levels knows.
+	// First has the features of builds that predate levels.
 	First Level = iota
-	// Workspaces: fleet files in INI may have workspaces, and a configuration in which two hold a key
-	// is refused.
+	// Workspaces: INI fleet files may define workspaces. A configuration in which two workspaces have
+	// the same key is rejected.
 	Workspaces
-	// ServerLimits: what backend servers name as their limits is agreed.
+	// ServerLimits: the limits that backend servers report are replicated.
 	ServerLimits
-	// ServerBackoffs: boxes tell the leader of long rests that backend servers ask for.
+	// ServerBackoffs: boxes report long backoffs requested by backend servers to the leader.
 	ServerBackoffs
-	// Evacuations: data halls whose backend servers get nothing are agreed, and so is which servers warm up.
+	// Evacuations: evacuated data halls, whose backend servers get no requests or loads, are replicated, and so is which
+	// servers are warming up.
 	Evacuations
-	// end is behind the newest.
+	// end is one above the newest level.
 	end
 )
 
-// Newest is the newest level that this build knows.
+// Newest is the highest level that this build supports.
 const Newest = end - 1
 
-// rows say what each level brought, for people.
-var rows = [end]string{
-	First:          "the agreed state of the first builds",
+// descriptions describe the features of each level for operators.
+var descriptions = [end]string{
+	First:          "the replicated state of the first builds",
 	Workspaces:     "workspaces in fleet files",
-	ServerLimits:   "limits that backend servers name",
-	ServerBackoffs: "long rests that backend servers ask for",
-	Evacuations:    "evacuations of data halls, and servers that warm up",
+	ServerLimits:   "limits reported by backend servers",
+	ServerBackoffs: "long backoffs requested by backend servers",
+	Evacuations:    "evacuations of data halls, and warm-up of servers",
 }
 
 func (l Level) String() string {
 	if l >= end {
-		return fmt.Sprintf("level %d, which this build does not know", uint32(l))
+		return fmt.Sprintf("level %d, which this build does not support", uint32(l))
 	}
-	return fmt.Sprintf("level %d (%s)", uint32(l), rows[l])
+	return fmt.Sprintf("level %d (%s)", uint32(l), descriptions[l])
 }
