--- a/certs/certs.go
+++ b/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs gives TLS configurations from certificate files, which it reads
-// again when they change, so that no restart is needed.
+// Package certs provides TLS configurations from certificate files. It reloads the
+// files when they change, so that no restart is needed.
 package certs
 
 import (
@@ -18,13 +18,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("certificates")
 
-// reloadEvery is the time between two looks at the files.
+// reloadEvery is the interval between checks of the files.
 const reloadEvery = 2 * time.Second
 
-// Files names the three files.
+// Files holds the paths of the PEM files.
 type Files struct{ Certificate, Key, Authority string }
 
-// Source is the newest content of the files. It implements peer.TLS.
+// Source holds the last valid content of the files. It implements peer.TLS.
 type Source struct {
 	files   Files
 	current atomic.Pointer[loaded]
@@ -34,10 +34,10 @@
 type loaded struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
-	stamp       time.Time
+	modTime     time.Time
 }
 
-// Open reads the files once; Watch keeps them fresh.
+// Open loads the files once. Watch reloads them on change.
 func Open(f Files, log *zap.Logger) (*Source, error) {
 	s := &Source{files: f, log: log}
 	l, err := s.load()
@@ -59,13 +59,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, Error.New("%s holds no certificate", s.files.Authority)
+		return nil, Error.New("%s contains no certificate", s.files.Authority)
 	}
-	return &loaded{certificate, pool, s.stamp()}, nil
+	return &loaded{certificate, pool, s.modTime()}, nil
 }
 
-// stamp returns when the newest of the files changed.
-func (s *Source) stamp() time.Time {
+// modTime returns the latest modification time of the files.
+func (s *Source) modTime() time.Time {
 	var newest time.Time
 	for _, path := range []string{s.files.Certificate, s.files.Key, s.files.Authority} {
 		if info, err := os.Stat(path); err == nil && info.ModTime().After(newest) {
@@ -75,8 +75,8 @@
 	return newest
 }
 
-// Watch reads the files again whenever they changed, until done is closed.
-// Files that cannot be read leave the old certificates in use.
+// Watch reloads the files whenever they change, until done is closed. If the new
+// files cannot be loaded, the old certificates stay in use.
 func (s *Source) Watch(done <-chan struct{}) {
 	ticker := time.NewTicker(reloadEvery)
 	defer ticker.Stop()
@@ -90,9 +90,9 @@
 	}
 }
 
-// Reload reads the files if they changed.
+// Reload loads the files if they have changed.
 func (s *Source) Reload() {
-	if s.stamp().Equal(s.current.Load().stamp) {
+	if s.modTime().Equal(s.current.Load().modTime) {
 		return
 	}
 	l, err := s.load()
@@ -104,7 +104,7 @@
 	event.CertificatesReloaded.Log(s.log)
 }
 
-// Server returns a configuration that wants a certificate of the other side.
+// Server returns a server configuration that requires a client certificate.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -119,7 +119,7 @@
 	}
 }
 
-// Client returns a configuration that wants the other side to be the named box.
+// Client returns a client configuration that requires a certificate for the named box.
 func (s *Source) Client(box string) *tls.Config {
 	l := s.current.Load()
 	return &tls.Config{
@@ -127,11 +127,11 @@
 	}
 }
 
-// VerifyChain checks the other side's certificate against an authority, whatever
-// its name.
+// VerifyChain verifies the peer's certificate chain against an authority, without
+// checking the name.
 func VerifyChain(authority *x509.CertPool, s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return Error.New("the other side has no certificate")
+		return Error.New("the peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
