--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -1,4 +1,4 @@
-// Package build names the build of the running program.
+// Package build identifies the build of the running program.
 package build
 
 import (
@@ -7,15 +7,15 @@
 )
 
 const (
-	// commitDigits is how much of a commit names it.
+	// commitDigits is the length of an abbreviated commit hash.
 	commitDigits = 12
 	unnamed      = "unnamed"
 )
 
-// commit is set by the linker where the build is made without the history: -X leverdrum/internal/build.commit=...
+// commit is set by the linker if the build has no version control data: -X leverdrum/internal/build.commit=...
 var commit string
 
-// Name returns the commit that the program was built from, as far as the build tells.
+// Name returns the commit that the program was built from, or "unnamed" if the build does not record it.
 var Name = sync.OnceValue(func() string {
 	if commit != "" {
 		return commit
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads a steady clock that goes on while the machine is suspended. The runtime's own
-// (CLOCK_MONOTONIC) stands still then: a lease measured by it holds too long by all the time slept.
+// Package clock reads a monotonic clock that keeps running while the machine is suspended. The clock of the Go runtime
+// (CLOCK_MONOTONIC) stops during suspension, so a lease based on it would last too long by the time suspended.
 package clock
 
 import (
@@ -8,30 +8,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time since it was made, suspension included.
+// Clock returns the time since its creation, including suspension.
 type Clock struct {
-	start  time.Time     // by the runtime's clock
-	booted time.Duration // of the machine, then; 0: the machine does not tell
+	start    time.Time     // by the runtime's clock
+	boottime time.Duration // time since boot at creation; 0 if not available
 }
 
-// New returns a clock that begins now.
+// New returns a clock that starts at zero now.
 func New() *Clock {
-	booted, _ := sinceBoot()
-	return &Clock{time.Now(), booted}
+	boottime, _ := sinceBoot()
+	return &Clock{time.Now(), boottime}
 }
 
-// Now returns the time since the clock was made. Where the system has no such clock it is the runtime's: then a
-// suspended machine counts as one whose clock is wrong.
+// Now returns the time since the clock was created. If the system has no boot-time clock it uses the runtime's, and a
+// suspended machine counts as one with a faulty clock.
 func (c *Clock) Now() time.Duration {
-	if c.booted != 0 {
+	if c.boottime != 0 {
 		if now, ok := sinceBoot(); ok {
-			return now - c.booted
+			return now - c.boottime
 		}
 	}
 	return time.Since(c.start)
 }
 
-// sinceBoot reads CLOCK_BOOTTIME; a reading is a system call of 0.3 µs (BenchmarkNow).
+// sinceBoot reads CLOCK_BOOTTIME with a system call that takes 0.3 µs (BenchmarkNow).
 func sinceBoot() (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,22 +7,22 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTheClockGoesOn(t *testing.T) {
+func TestClockAdvances(t *testing.T) {
 	g := NewWithT(t)
 	c := New()
-	g.Expect(c.booted).To(BeNumerically(">", 0), "the system has such a clock")
-	began := time.Now()
+	g.Expect(c.boottime).To(BeNumerically(">", 0), "the system has a boot-time clock")
+	started := time.Now()
 	before := c.Now()
 	time.Sleep(20 * time.Millisecond)
-	passed := c.Now() - before
-	g.Expect(passed).To(BeNumerically(">=", 19*time.Millisecond))
-	g.Expect(passed).To(BeNumerically("<=", time.Since(began)+time.Millisecond), "both clocks run alike while nobody sleeps")
+	elapsed := c.Now() - before
+	g.Expect(elapsed).To(BeNumerically(">=", 19*time.Millisecond))
+	g.Expect(elapsed).To(BeNumerically("<=", time.Since(started)+time.Millisecond), "both clocks run alike while the machine is not suspended")
 }
 
-// Without such a clock it is the runtime's, from the same beginning.
-func TestWithoutSuchAClock(t *testing.T) {
+// Without a boot-time clock the runtime's clock is used, from the same start.
+func TestFallsBackToRuntimeClock(t *testing.T) {
 	c := New()
-	c.booted = 0
+	c.boottime = 0
 	NewWithT(t).Expect(c.Now()).To(BeNumerically("<", time.Minute))
 }
 
--- a/internal/cow/cow_test.go
+++ b/internal/cow/cow_test.go
@@ -11,29 +11,29 @@
 	"leverdrum/internal/cow"
 )
 
-// A map and its clones hold what plain maps hold that are copied whole.
-func TestClonesDoNotChange(t *testing.T) {
+// Maps and their clones have the same content as built-in maps that are copied completely.
+func TestClonesAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		plain := []map[int]int{{}}
-		tried := []*cow.Map[int, int]{cow.New[int, int]()}
+		expected := []map[int]int{{}}
+		actual := []*cow.Map[int, int]{cow.New[int, int]()}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			i := rapid.IntRange(0, len(plain)-1).Draw(t, "map")
+			i := rapid.IntRange(0, len(expected)-1).Draw(t, "map")
 			key := rapid.IntRange(0, 60).Draw(t, "key")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				delete(plain[i], key)
-				tried[i].Delete(key)
+				delete(expected[i], key)
+				actual[i].Delete(key)
 			case 1:
-				plain = append(plain, maps.Clone(plain[i]))
-				tried = append(tried, tried[i].Clone())
+				expected = append(expected, maps.Clone(expected[i]))
+				actual = append(actual, actual[i].Clone())
 			default:
-				plain[i][key]++
-				tried[i].Set(key, tried[i].Get(key)+1)
+				expected[i][key]++
+				actual[i].Set(key, actual[i].Get(key)+1)
 			}
 		}
-		for i := range plain {
-			if got := maps.Collect(tried[i].All()); !maps.Equal(got, plain[i]) || tried[i].Len() != len(plain[i]) {
-				t.Fatalf("map %d holds %v, not %v", i, got, plain[i])
+		for i := range expected {
+			if got := maps.Collect(actual[i].All()); !maps.Equal(got, expected[i]) || actual[i].Len() != len(expected[i]) {
+				t.Fatalf("map %d: got %v, want %v", i, got, expected[i])
 			}
 		}
 	})
@@ -60,9 +60,9 @@
 	g.Expect(slices.Collect(maps.Keys(maps.Collect(m.All())))).To(HaveLen(3))
 }
 
-// What a clone and a change after it allocate does not go by the size of the map.
-func TestAChangeCostsItsPath(t *testing.T) {
-	cost := func(size int) float64 {
+// The allocations of a clone and a subsequent change do not depend on the size of the map.
+func TestChangeCopiesOnlyItsPath(t *testing.T) {
+	allocations := func(size int) float64 {
 		m := cow.New[int, int]()
 		for i := range size {
 			m.Set(i, i)
@@ -74,6 +74,6 @@
 			m.Set(i*7%size, i)
 		})
 	}
-	small, large := cost(1000), cost(32000)
-	NewWithT(t).Expect(large).To(BeNumerically("<=", 2*small), "32 times as many keys take one level more")
+	small, large := allocations(1000), allocations(32000)
+	NewWithT(t).Expect(large).To(BeNumerically("<=", 2*small), "32 times as many keys need one more tree level")
 }
--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -1,4 +1,4 @@
-// Package fixed makes property tests give the same verdict every time.
+// Package fixed makes property tests reproducible.
 package fixed
 
 import (
@@ -9,18 +9,17 @@
 // Seed is the seed of all property tests.
 const Seed = 20261202
 
-// SetRapidFlags sets the flags of pgregory.net/rapid, which the test must import, to a
-// fixed seed and a count of runs, and bounds the time that a failure is made
-// smaller. Flags on the command line go before it. It is to be called from
-// TestMain.
+// SetRapidFlags sets the flags of pgregory.net/rapid, which the test must import: a
+// fixed seed, the number of runs and a limit on the time for shrinking a failure.
+// Flags on the command line take precedence. It must be called from TestMain.
 func SetRapidFlags(runs int) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	explicit := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { explicit[f.Name] = true })
 	for name, value := range map[string]string{
 		"rapid.seed": strconv.Itoa(Seed), "rapid.checks": strconv.Itoa(runs), "rapid.nofailfile": "true", "rapid.shrinktime": "2s",
 	} {
-		if given[name] {
+		if explicit[name] {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
--- a/internal/pack/pack_test.go
+++ b/internal/pack/pack_test.go
@@ -12,9 +12,9 @@
 	"leverdrum/internal/pack"
 )
 
-const most = 64 << 20
+const maxSize = 64 << 20
 
-// routes is a text like a fleet file's, of about 240 bytes a route.
+// routes returns a text similar to a fleet file, with about 240 bytes per route.
 func routes(count, timeout int) []byte {
 	names := rand.New(rand.NewPCG(1, 1))
 	var b bytes.Buffer
@@ -25,7 +25,7 @@
 	return b.Bytes()
 }
 
-func TestWhatIsPackedComesBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		base := rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "base")
@@ -34,33 +34,33 @@
 			text = append(bytes.Clone(base), text...)
 		}
 		packed := pack.Pack(text, base)
-		back, err := pack.Unpack(packed, base, most)
+		unpacked, err := pack.Unpack(packed, base, maxSize)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(bytes.Equal(back, text)).To(BeTrue())
+		g.Expect(bytes.Equal(unpacked, text)).To(BeTrue())
 	})
 }
 
-func TestAFileIsSmallAndItsChangesAreSmaller(t *testing.T) {
+func TestCompressionRatio(t *testing.T) {
 	g := NewWithT(t)
 	for _, count := range []int{200, 2000, 6000} {
 		old, text := routes(count, 5000), routes(count, 5500)
 		whole, change := pack.Pack(text, nil), pack.Pack(text, old)
-		t.Logf("%d routes: %d bytes, packed %d, against the one before %d", count, len(text), len(whole), len(change))
+		t.Logf("%d routes: %d bytes, packed %d, against the previous file %d", count, len(text), len(whole), len(change))
 		g.Expect(len(whole) * 6).To(BeNumerically("<", len(text)))
 		g.Expect(len(change) * 20).To(BeNumerically("<", len(text)))
 	}
 }
 
-func TestWhatIsPackedAgainstAnotherTextFails(t *testing.T) {
+func TestUnpackFailsWithWrongBaseOrLimit(t *testing.T) {
 	g := NewWithT(t)
 	packed := pack.Pack(routes(20, 1), routes(20, 2))
-	_, err := pack.Unpack(packed, nil, most)
+	_, err := pack.Unpack(packed, nil, maxSize)
 	g.Expect(err).To(HaveOccurred())
 	_, err = pack.Unpack(packed, routes(20, 2), 100)
 	g.Expect(err).To(HaveOccurred(), "longer than allowed")
 	other := bytes.Repeat([]byte("other "), len(routes(20, 2))/6)
-	back, err := pack.Unpack(packed, other, most)
-	g.Expect(err != nil || !bytes.Equal(back, routes(20, 1))).To(BeTrue())
+	unpacked, err := pack.Unpack(packed, other, maxSize)
+	g.Expect(err != nil || !bytes.Equal(unpacked, routes(20, 1))).To(BeTrue())
 }
 
 func FuzzUnpack(f *testing.F) {
@@ -88,7 +88,7 @@
 		b.Run(name+"/unpack", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := pack.Unpack(packed, base, most); err != nil {
+				if _, err := pack.Unpack(packed, base, maxSize); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for the end of a context.
+// Package wait waits for a duration or the end of a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, and reports false when the context ended first.
+// For waits for d. It returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
