--- a/box/draining_test.go
+++ b/box/draining_test.go
@@ -24,8 +24,8 @@
 func firstDrainingAnswers(arrived []standin.Arrival) map[string]time.Time {
 	seen := map[string]time.Time{}
 	for _, a := range arrived {
-		if _, known := seen[a.Via]; a.Left && !known {
-			seen[a.Via] = a.At
+		if _, known := seen[a.Via]; a.Draining && !known {
+			seen[a.Via] = a.ReceivedAt
 		}
 	}
 	return seen
@@ -34,7 +34,7 @@
 // countLate counts the requests that arrived later than the given time after their box first got such a response.
 func countLate(arrived []standin.Arrival, draining map[string]time.Time, after time.Duration) (late int) {
 	for _, a := range arrived {
-		if since, known := draining[a.Via]; known && a.At.Sub(since) > after {
+		if since, known := draining[a.Via]; known && a.ReceivedAt.Sub(since) > after {
 			late++
 		}
 	}
@@ -47,7 +47,7 @@
 	g := NewWithT(s.t)
 	stop := s.startLoad(30)
 	time.Sleep(3 * drainGrace)
-	arrived := s.serverByID(server).Arrived()
+	arrived := s.serverByID(server).Arrivals()
 	answers := stop()
 	served := 0
 	for _, a := range answers {
@@ -70,7 +70,7 @@
 	s.server("", "") // no resident model
 	s.setDraining("i-1")
 	s.expectDrained("i-1")
-	g.Expect(s.serverByID("i-2").Holds("m1")).To(BeTrue(), "the last copy is loaded elsewhere")
+	g.Expect(s.serverByID("i-2").HasModel("m1")).To(BeTrue(), "the last copy is loaded elsewhere")
 }
 
 // The same without a leader that could distribute it, while the committed state has the server as not draining: each box honors
--- a/box/limit_test.go
+++ b/box/limit_test.go
@@ -76,12 +76,12 @@
 // maxInWindow returns the maximum number of requests that arrived within one limitWindow, of those since a time.
 func maxInWindow(arrived []standin.Arrival, since time.Time) (maximum int) {
 	for i, first := range arrived {
-		if first.At.Before(since) {
+		if first.ReceivedAt.Before(since) {
 			continue
 		}
 		n := 0
 		for _, other := range arrived[i:] {
-			if other.At.Sub(first.At) < limitWindow {
+			if other.ReceivedAt.Sub(first.ReceivedAt) < limitWindow {
 				n++
 			}
 		}
@@ -116,7 +116,7 @@
 			g.Eventually(func() []admin.LimitRow { return s.status().Limits }, limitPropagation).Should(ConsistOf(And(HaveField("Server", "i-1"), HaveField("PerSecond", rate))), "limit is committed and in the status; level %d is in force", s.status().Level)
 		}
 		time.Sleep(limitPropagation + 2*limitWindow)
-		arrived := s.serverByID("i-1").Arrived()
+		arrived := s.serverByID("i-1").Arrivals()
 		served := 0
 		answers := stop()
 		for _, a := range answers {
@@ -135,7 +135,7 @@
 	stop := s.startLoad(16)
 	began := time.Now()
 	time.Sleep(4 * limitWindow)
-	arrived := s.serverByID("i-1").Arrived()
+	arrived := s.serverByID("i-1").Arrivals()
 	stop()
 	g.Expect(maxInWindow(arrived, began.Add(2*limitWindow))).To(BeNumerically(">", 20), "without a limit it gets half of the 64 requests")
 }
@@ -150,7 +150,7 @@
 	named := time.Now()
 	stop := s.startLoad(16)
 	time.Sleep(limitPropagation + 2*limitWindow)
-	arrived := s.serverByID("i-1").Arrived()
+	arrived := s.serverByID("i-1").Arrivals()
 	answers := stop()
 	served, refused := 0, 0
 	for _, a := range answers {
--- a/e2e/placement_test.go
+++ b/e2e/placement_test.go
@@ -144,7 +144,7 @@
 	eventually(t, "all models are ready on the three remaining servers", 40*time.Second, allReady)
 	c.awaitAnswers([]int{0, 2, 4, 6}, models)
 	for name, e := range c.engines {
-		g.Expect(e.Account().Overcommits).To(BeZero(), name)
+		g.Expect(e.Stats().Overcommits).To(BeZero(), name)
 	}
 }
 
--- a/entry/crashers_test.go
+++ b/entry/crashers_test.go
@@ -92,7 +92,7 @@
 		m.start(t)
 		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, m.address)
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	g.Expect(err).NotTo(HaveOccurred())
 	replicated := &localState{startedAt: time.Now()}
 	replicated.view.Store(st)
