--- a/fleet/room.go
+++ b/fleet/capacity.go
@@ -9,8 +9,8 @@
 	"github.com/dustin/go-humanize"
 )
 
-// sorted returns the names of a map in order.
-func sorted[T any](m map[string]*T) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedNames returns the names of a map in order.
+func sortedNames[T any](m map[string]*T) []string { return slices.Sorted(maps.Keys(m)) }
 
 // SortedModels returns the models, those of high priority and size first, so
 // that what is hard to place is placed first.
@@ -25,48 +25,48 @@
 // SortedServers returns the model servers by name.
 func (f *Fleet) SortedServers() []*Server {
 	var list []*Server
-	for _, name := range sorted(f.Servers) {
+	for _, name := range sortedNames(f.Servers) {
 		list = append(list, f.Servers[name])
 	}
 	return list
 }
 
-// slot is the room left on one accelerator.
-type slot struct {
+// accelerator is the room left on one accelerator.
+type accelerator struct {
 	server *Server
 	free   uint64
 }
 
-// checkRoom refuses a file whose models cannot all be resident once, on the
+// checkCapacity refuses a file whose models cannot all be resident once, on the
 // servers that are not leaving, and says what is short.
-func (r *reader) checkRoom() {
-	var slots []*slot
+func (r *reader) checkCapacity() {
+	var accelerators []*accelerator
 	for _, s := range r.fleet.SortedServers() {
 		if s.Draining {
 			continue
 		}
 		for range s.Kind.Accelerators {
-			slots = append(slots, &slot{s, s.Kind.UsableMemory()})
+			accelerators = append(accelerators, &accelerator{s, s.Kind.UsableMemory()})
 		}
 	}
-	for _, m := range bySize(r.fleet) {
-		if best := bestFit(slots, m); best != nil {
+	for _, m := range modelsBySize(r.fleet) {
+		if best := bestFit(accelerators, m); best != nil {
 			best.free -= m.Footprint()
 			continue
 		}
-		r.doc.Section("fleet").AddFault("", shortage(slots, m), "models that fit the servers' memory")
+		r.doc.Section("fleet").AddFault("", shortage(accelerators, m), "models that fit the servers' memory")
 	}
 }
 
-func bySize(f *Fleet) []*Model {
+func modelsBySize(f *Fleet) []*Model {
 	list := f.SortedModels()
 	slices.SortStableFunc(list, func(a, b *Model) int { return cmp.Compare(b.Footprint(), a.Footprint()) })
 	return list
 }
 
-func bestFit(slots []*slot, m *Model) *slot {
-	var best *slot
-	for _, s := range slots {
+func bestFit(accelerators []*accelerator, m *Model) *accelerator {
+	var best *accelerator
+	for _, s := range accelerators {
 		if !m.MayRunOn(s.server) || s.free < m.Footprint() {
 			continue
 		}
@@ -77,13 +77,13 @@
 	return best
 }
 
-func shortage(slots []*slot, m *Model) string {
-	most := uint64(0)
-	for _, s := range slots {
+func shortage(accelerators []*accelerator, m *Model) string {
+	largest := uint64(0)
+	for _, s := range accelerators {
 		if m.MayRunOn(s.server) {
-			most = max(most, s.free)
+			largest = max(largest, s.free)
 		}
 	}
 	return fmt.Sprintf("model %s cannot be resident: it takes %s with its adapters, the largest room left where it may run is %s, %s short",
-		m.Name, humanize.IBytes(m.Footprint()), humanize.IBytes(most), humanize.IBytes(m.Footprint()-most))
+		m.Name, humanize.IBytes(m.Footprint()), humanize.IBytes(largest), humanize.IBytes(m.Footprint()-largest))
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -199,7 +199,7 @@
 	r := &reader{doc: d, fleet: newFleet()}
 	r.read()
 	if len(d.Faults()) == 0 {
-		r.checkRoom()
+		r.checkCapacity()
 	}
 	if faults := d.Faults(); len(faults) > 0 {
 		return nil, faults
@@ -258,11 +258,11 @@
 		parts[p.Name] = p
 		list = append(list, w)
 	}
-	book, clashes := workspace.NewRegistry(list)
-	for _, c := range clashes {
+	registry, conflicts := workspace.NewRegistry(list)
+	for _, c := range conflicts {
 		parts[c.Second].AddFault("keys", c.String(), "each key in one workspace")
 	}
-	r.fleet.Workspaces = book
+	r.fleet.Workspaces = registry
 }
 
 func (r *reader) readServers() {
@@ -280,8 +280,8 @@
 	}
 	for _, p := range r.doc.Sections("server") {
 		s := &Server{Name: p.Name, Address: p.String("address"), Hall: p.String("hall"), Draining: p.Bool("leaving")}
-		s.Kind = refer(p, "kind", f.kinds)
-		refer(p, "hall", f.Halls)
+		s.Kind = lookup(p, "kind", f.kinds)
+		lookup(p, "hall", f.Halls)
 		f.Servers[p.Name] = s
 	}
 }
@@ -290,7 +290,7 @@
 	f := r.fleet
 	for _, p := range r.doc.Sections("model") {
 		m := &Model{
-			Name: p.Name, Version: p.String("version"), Memory: p.Bytes("memory"), Class: refer(p, "class", f.Classes),
+			Name: p.Name, Version: p.String("version"), Memory: p.Bytes("memory"), Class: lookup(p, "class", f.Classes),
 			Priority: p.Int("priority"), Halls: p.List("halls"), MinCopies: p.Int("copies"), MaxCopies: p.Int("max-copies"), ExpectedRate: p.Float("expected"),
 		}
 		if m.MaxCopies < m.MinCopies {
@@ -308,7 +308,7 @@
 		if f.Models[p.Name] != nil {
 			p.AddFault("", "a model has the same name", "a name of its own")
 		}
-		if m := refer(p, "model", f.Models); m != nil {
+		if m := lookup(p, "model", f.Models); m != nil {
 			m.Adapters = append(m.Adapters, a)
 		}
 		f.Adapters[p.Name] = a
@@ -318,7 +318,7 @@
 func (r *reader) readServices() {
 	f := r.fleet
 	for _, p := range r.doc.Sections("service") {
-		s := &Service{Name: p.Name, Class: refer(p, "class", f.Classes), KeyHeader: p.String("key-header")}
+		s := &Service{Name: p.Name, Class: lookup(p, "class", f.Classes), KeyHeader: p.String("key-header")}
 		for _, text := range p.List("non-repeatable") {
 			c, ok := parseCall(text)
 			if !ok {
@@ -333,8 +333,8 @@
 			Name: p.Name, Service: p.String("service"), Address: p.String("address"), Hall: p.String("hall"),
 			Draining: p.Bool("leaving"), Concurrency: p.Int("concurrency"),
 		}
-		refer(p, "hall", f.Halls)
-		if s := refer(p, "service", f.Services); s != nil {
+		lookup(p, "hall", f.Halls)
+		if s := lookup(p, "service", f.Services); s != nil {
 			s.Instances = append(s.Instances, i)
 		}
 		if f.Servers[p.Name] != nil {
@@ -355,8 +355,8 @@
 	return c, true
 }
 
-// refer looks up the section that a key names and notes a fault if there is none.
-func refer[T any](p *conf.SectionValues, key string, in map[string]*T) *T {
+// lookup looks up the section that a key names and notes a fault if there is none.
+func lookup[T any](p *conf.SectionValues, key string, in map[string]*T) *T {
 	name := p.String(key)
 	if v := in[name]; v != nil || name == "" {
 		return v
@@ -366,10 +366,10 @@
 }
 
 func names[T any](m map[string]*T) string {
-	const most = 8
-	list := sorted(m)
-	if len(list) > most {
-		return strings.Join(list[:most], ", ") + ", …"
+	const maxNames = 8
+	list := sortedNames(m)
+	if len(list) > maxNames {
+		return strings.Join(list[:maxNames], ", ") + ", …"
 	}
 	return strings.Join(list, ", ")
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "fleet file")
 }
 
-const good = `
+const validFile = `
 [fleet]
 number = 7
 [hall a]
@@ -53,7 +53,7 @@
 
 var _ = Describe("a fleet file", func() {
 	It("is read whole", func() {
-		f, err := fleet.Parse("f.ini", []byte(good))
+		f, err := fleet.Parse("f.ini", []byte(validFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.Number).To(BeEquivalentTo(7))
 		Expect(f.Models["cat"].Footprint()).To(BeEquivalentTo(41 << 30))
@@ -64,8 +64,8 @@
 
 	DescribeTable("names each fault",
 		func(old, changed, section, key, problem string) {
-			text := strings.Replace(good, old, changed, 1)
-			Expect(text).NotTo(Equal(good))
+			text := strings.Replace(validFile, old, changed, 1)
+			Expect(text).NotTo(Equal(validFile))
 			_, err := fleet.Parse("f.ini", []byte(text))
 			Expect(err).To(BeAssignableToTypeOf(conf.Faults{}))
 			Expect(err).To(ContainElement(SatisfyAll(
@@ -91,7 +91,7 @@
 
 	DescribeTable("tells which calls may be repeated",
 		func(method, path string, repeatable bool) {
-			f, err := fleet.Parse("f.ini", []byte(good))
+			f, err := fleet.Parse("f.ini", []byte(validFile))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(f.Services["shop"].Repeatable(method, path)).To(Equal(repeatable))
 		},
@@ -103,7 +103,7 @@
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte("[model x]\nmemory=99999999999EiB"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		v, err := fleet.Parse("x", data)
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFoundRouteIsTheLongest(t *testing.T) {
+func TestFindReturnsLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"", "a/", "b/", "a/b/", "a/a/"})
 		var list []*fleet.Route
--- a/fleet/workspaces_test.go
+++ b/fleet/workspaces_test.go
@@ -12,7 +12,7 @@
 
 const (
 	plainKey = "key-of-the-atelier"
-	withKeys = good + `
+	withKeys = validFile + `
 [workspace atelier]
 keys = ` + plainKey + `, sha256:77af778b51abd4a3c51c5ddd97204a9c3ae614ebccb75a606c3b6865aed6744e
 urgency = 1
@@ -40,7 +40,7 @@
 	g.Expect(w.Name).To(Equal("atelier"))
 }
 
-func TestFaultyWorkspacesAreRefusedWithoutTheirKeys(t *testing.T) {
+func TestInvalidWorkspaceFaultsHideKeys(t *testing.T) {
 	for name, row := range map[string]struct{ old, next, want string }{
 		"a key of two":      {"keys = key-of-the-library", "keys = " + plainKey, "held by atelier and by library"},
 		"too short a key":   {"keys = key-of-the-library", "keys = secret", "6 bytes"},
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestWhatIsShownHoldsNoKeysAndIsTheSameFleet(t *testing.T) {
+func TestRedactedFileHoldsNoKeysAndSameFleet(t *testing.T) {
 	g := NewWithT(t)
 	shown, err := fleet.Redact("", []byte(withKeys))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -85,9 +85,9 @@
 
 // Document is a file that was read, with the faults found so far.
 type Document struct {
-	file   string
-	parts  []*SectionValues
-	faults Faults
+	file     string
+	sections []*SectionValues
+	faults   Faults
 }
 
 // SectionValues is one section of a document.
@@ -95,11 +95,11 @@
 	// Name is the section's own name, "" for kinds without.
 	Name string
 
-	doc    *Document
-	kind   Section
-	title  string
-	values map[string]any
-	set    map[string]bool
+	doc     *Document
+	kind    Section
+	title   string
+	values  map[string]any
+	present map[string]bool
 }
 
 // MaxBytes bounds the size of a file.
@@ -110,11 +110,11 @@
 func Read(file string, data []byte, schema []Section) *Document {
 	d := &Document{file: file}
 	if len(data) > MaxBytes {
-		d.fault("", "", fmt.Sprintf("the file has %d bytes", len(data)), fmt.Sprintf("up to %d", MaxBytes))
+		d.addFault("", "", fmt.Sprintf("the file has %d bytes", len(data)), fmt.Sprintf("up to %d", MaxBytes))
 		return d
 	}
 	if bytes.IndexByte(data, 0) >= 0 {
-		d.fault("", "", "the file holds a zero byte", "text in UTF-8")
+		d.addFault("", "", "the file holds a zero byte", "text in UTF-8")
 		return d
 	}
 	raw, err := ini.LoadSources(ini.LoadOptions{
@@ -126,17 +126,17 @@
 		AllowDuplicateShadowValues: true,
 	}, data)
 	if err != nil {
-		d.fault("", "", err.Error(), "sections, keys and values in INI")
+		d.addFault("", "", err.Error(), "sections, keys and values in INI")
 		return d
 	}
 	for _, s := range raw.Sections() {
-		d.section(s, schema)
+		d.readSection(s, schema)
 	}
-	d.missing(schema)
+	d.addMissing(schema)
 	return d
 }
 
-func (d *Document) fault(section, key, problem, allowed string) {
+func (d *Document) addFault(section, key, problem, allowed string) {
 	d.faults = append(d.faults, Fault{d.file, section, key, problem, allowed})
 }
 
@@ -145,104 +145,104 @@
 
 // AddFault adds a fault that the caller found in a part's key.
 func (p *SectionValues) AddFault(key, problem, allowed string) {
-	p.doc.fault(p.title, key, problem, allowed)
+	p.doc.addFault(p.title, key, problem, allowed)
 }
 
 // AddFault adds a fault of the document as a whole.
-func (d *Document) AddFault(problem, allowed string) { d.fault("", "", problem, allowed) }
+func (d *Document) AddFault(problem, allowed string) { d.addFault("", "", problem, allowed) }
 
-func (d *Document) section(s *ini.Section, schema []Section) {
+func (d *Document) readSection(s *ini.Section, schema []Section) {
 	title := s.Name()
 	if title == ini.DefaultSection {
 		if len(s.Keys()) > 0 {
-			d.fault("", s.Keys()[0].Name(), "a key before the first section", "keys inside a section")
+			d.addFault("", s.Keys()[0].Name(), "a key before the first section", "keys inside a section")
 		}
 		return
 	}
 	kindName, name, _ := strings.Cut(title, " ")
 	i := slices.IndexFunc(schema, func(k Section) bool { return k.Kind == kindName })
 	if i < 0 {
-		d.fault(title, "", "unknown section", kinds(schema))
+		d.addFault(title, "", "unknown section", kindNames(schema))
 		return
 	}
 	kind := schema[i]
 	name = strings.TrimSpace(name)
 	if kind.Named && !ValidName(name) {
-		d.fault(title, "", "the section needs a name", kind.Kind+" NAME, the name of letters, digits and . _ -")
+		d.addFault(title, "", "the section needs a name", kind.Kind+" NAME, the name of letters, digits and . _ -")
 		return
 	}
 	if !kind.Named && name != "" {
-		d.fault(title, "", "the section takes no name", "["+kind.Kind+"]")
+		d.addFault(title, "", "the section takes no name", "["+kind.Kind+"]")
 		return
 	}
-	if slices.ContainsFunc(d.parts, func(p *SectionValues) bool { return p.kind.Kind == kind.Kind && p.Name == name }) {
-		d.fault(title, "", "the section stands twice", "once")
+	if slices.ContainsFunc(d.sections, func(p *SectionValues) bool { return p.kind.Kind == kind.Kind && p.Name == name }) {
+		d.addFault(title, "", "the section stands twice", "once")
 		return
 	}
-	d.parts = append(d.parts, d.part(s, kind, title, name))
+	d.sections = append(d.sections, d.readKeys(s, kind, title, name))
 }
 
-func (d *Document) part(s *ini.Section, kind Section, title, name string) *SectionValues {
-	p := &SectionValues{Name: name, doc: d, kind: kind, title: title, values: map[string]any{}, set: map[string]bool{}}
+func (d *Document) readKeys(s *ini.Section, kind Section, title, name string) *SectionValues {
+	p := &SectionValues{Name: name, doc: d, kind: kind, title: title, values: map[string]any{}, present: map[string]bool{}}
 	for _, k := range s.Keys() {
 		i := slices.IndexFunc(kind.Keys, func(x Key) bool { return x.Name == k.Name() })
 		if i < 0 {
-			d.fault(title, k.Name(), "unknown key", keyNames(kind))
+			d.addFault(title, k.Name(), "unknown key", keyNames(kind))
 			continue
 		}
-		p.set[k.Name()] = true
+		p.present[k.Name()] = true
 		if len(k.ValueWithShadows()) > 1 {
-			d.fault(title, k.Name(), "the key stands twice", "once")
+			d.addFault(title, k.Name(), "the key stands twice", "once")
 			continue
 		}
-		p.read(kind.Keys[i], k.String())
+		p.readKey(kind.Keys[i], k.String())
 	}
 	for _, k := range kind.Keys {
-		if p.set[k.Name] {
+		if p.present[k.Name] {
 			continue
 		}
 		if k.Required {
-			d.fault(title, k.Name, "the key is missing", k.allowed())
+			d.addFault(title, k.Name, "the key is missing", k.allowedText())
 			continue
 		}
-		p.read(k, k.Default)
+		p.readKey(k, k.Default)
 	}
 	return p
 }
 
-func (p *SectionValues) read(k Key, text string) {
+func (p *SectionValues) readKey(k Key, text string) {
 	if text == "" && !k.Required {
-		p.values[k.Name] = k.zero()
+		p.values[k.Name] = k.zeroValue()
 		return
 	}
 	v, err := k.parse(text)
 	if err != nil {
-		p.AddFault(k.Name, fmt.Sprintf("%q %s", text, err), k.allowed())
+		p.AddFault(k.Name, fmt.Sprintf("%q %s", text, err), k.allowedText())
 		return
 	}
 	p.values[k.Name] = v
 }
 
-func (d *Document) missing(schema []Section) {
+func (d *Document) addMissing(schema []Section) {
 	for _, k := range schema {
-		found := slices.ContainsFunc(d.parts, func(p *SectionValues) bool { return p.kind.Kind == k.Kind })
+		found := slices.ContainsFunc(d.sections, func(p *SectionValues) bool { return p.kind.Kind == k.Kind })
 		if found || k.Named {
 			continue
 		}
 		if k.Required {
-			d.fault(k.Kind, "", "the section is missing", "")
+			d.addFault(k.Kind, "", "the section is missing", "")
 			continue
 		}
-		d.parts = append(d.parts, d.defaults(k))
+		d.sections = append(d.sections, d.defaultSection(k))
 	}
 }
 
-// defaults stands in for an optional section that was left out.
-func (d *Document) defaults(k Section) *SectionValues {
-	p := &SectionValues{doc: d, kind: k, title: k.Kind, values: map[string]any{}, set: map[string]bool{}}
+// defaultSection stands in for an optional section that was left out.
+func (d *Document) defaultSection(k Section) *SectionValues {
+	p := &SectionValues{doc: d, kind: k, title: k.Kind, values: map[string]any{}, present: map[string]bool{}}
 	for _, key := range k.Keys {
 		if !key.Required {
-			p.read(key, key.Default)
+			p.readKey(key, key.Default)
 		}
 	}
 	return p
@@ -251,7 +251,7 @@
 // Sections returns the sections of a kind in the order of the file.
 func (d *Document) Sections(kind string) []*SectionValues {
 	var list []*SectionValues
-	for _, p := range d.parts {
+	for _, p := range d.sections {
 		if p.kind.Kind == kind {
 			list = append(list, p)
 		}
@@ -265,11 +265,11 @@
 	if list := d.Sections(kind); len(list) > 0 {
 		return list[0]
 	}
-	return &SectionValues{doc: d, title: kind, values: map[string]any{}, set: map[string]bool{}}
+	return &SectionValues{doc: d, title: kind, values: map[string]any{}, present: map[string]bool{}}
 }
 
 // IsSet reports whether the file itself names the key.
-func (p *SectionValues) IsSet(key string) bool { return p.set[key] }
+func (p *SectionValues) IsSet(key string) bool { return p.present[key] }
 
 func get[T any](p *SectionValues, key string) T {
 	v, _ := p.values[key].(T)
@@ -297,7 +297,7 @@
 // Bool returns the value of a Bool key.
 func (p *SectionValues) Bool(key string) bool { return get[bool](p, key) }
 
-func kinds(schema []Section) string {
+func kindNames(schema []Section) string {
 	var names []string
 	for _, s := range schema {
 		names = append(names, s.Kind)
--- a/internal/conf/docs.go
+++ b/internal/conf/docs.go
@@ -15,7 +15,7 @@
 		}
 		fmt.Fprintf(&b, "### [%s]\n\n%s\n\n| key | value | default | meaning |\n| --- | --- | --- | --- |\n", title, s.Description)
 		for _, k := range s.Keys {
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.Name, k.allowed(), k.defaultText(), k.Description)
+			fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", k.Name, k.allowedText(), k.defaultText(), k.Description)
 		}
 		b.WriteString("\n")
 	}
--- a/internal/conf/types.go
+++ b/internal/conf/types.go
@@ -45,7 +45,7 @@
 	Texts
 )
 
-var typeTexts = map[Type]string{
+var typeDescriptions = map[Type]string{
 	Text:      "text",
 	Name:      "letters, digits and . _ -",
 	Names:     "names, separated by commas",
@@ -59,11 +59,11 @@
 	Texts:     "texts, separated by commas",
 }
 
-const maxName = 128
+const maxNameLength = 128
 
 // ValidName reports whether s can name a box, hall, model or the like.
 func ValidName(s string) bool {
-	if s == "" || len(s) > maxName {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for _, c := range s {
@@ -75,21 +75,21 @@
 	return true
 }
 
-func (k Key) allowed() string {
+func (k Key) allowedText() string {
 	switch {
 	case k.Type == Choice:
 		return "one of " + strings.Join(k.Choices, ", ")
 	case k.Type == Choices:
 		return "of " + strings.Join(k.Choices, ", ")
-	case k.numeric():
-		return fmt.Sprintf("%s, at least %v", typeTexts[k.Type], k.Min)
+	case k.isNumeric():
+		return fmt.Sprintf("%s, at least %v", typeDescriptions[k.Type], k.Min)
 	}
-	return typeTexts[k.Type]
+	return typeDescriptions[k.Type]
 }
 
-func (k Key) numeric() bool { return k.Type == Int || k.Type == Float }
+func (k Key) isNumeric() bool { return k.Type == Int || k.Type == Float }
 
-func (k Key) zero() any {
+func (k Key) zeroValue() any {
 	switch k.Type {
 	case Names, Addresses, Choices, Texts:
 		return []string(nil)
--- a/settings/seeds_test.go
+++ b/settings/seeds_test.go
@@ -9,7 +9,7 @@
 	"leverdrum/settings"
 )
 
-const seeded = `[box]
+const settingsWithSeeds = `[box]
 name = 10.0.0.1
 hall = h
 roles = control,entry
@@ -31,7 +31,7 @@
 
 var _ = Describe("seeds", func() {
 	It("name boxes by their IP numbers, at this box's own port", func() {
-		s, err := settings.Parse("box.ini", []byte(seeded))
+		s, err := settings.Parse("box.ini", []byte(settingsWithSeeds))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Boxes).To(Equal(map[string]string{"10.0.0.1": "10.0.0.1:7380", "10.0.0.2": "10.0.0.2:7380"}))
 		Expect(s.FirstMembers).To(Equal([]string{"10.0.0.1", "10.0.0.2"}))
@@ -41,13 +41,13 @@
 	})
 
 	It("form no cluster unless they are said to", func() {
-		s, err := settings.Parse("box.ini", []byte(strings.Replace(seeded, "form = true", "form = false", 1)))
+		s, err := settings.Parse("box.ini", []byte(strings.Replace(settingsWithSeeds, "form = true", "form = false", 1)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.FirstMembers).To(BeEmpty())
 	})
 
 	DescribeTable("are checked", func(old, changed, problem string) {
-		_, err := settings.Parse("box.ini", []byte(strings.Replace(seeded, old, changed, 1)))
+		_, err := settings.Parse("box.ini", []byte(strings.Replace(settingsWithSeeds, old, changed, 1)))
 		Expect(err).To(MatchError(ContainSubstring(problem)))
 	},
 		Entry("neither seeds nor boxes", "seeds = 10.0.0.1:8144, 10.0.0.2:8144\n", "", "nor seeds"),
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -213,12 +213,12 @@
 	entry, data, tls := d.Section("entry"), d.Section("data"), d.Section("tls")
 	timing, platform, operator, budget := d.Section("timing"), d.Section("platform"), d.Section("operator"), d.Section("budget")
 	s := &Settings{
-		Box: box.String("name"), Hall: box.String("hall"), Regions: pairs(box.List("regions")), Roles: box.List("roles"),
-		Cluster: cluster.String("name"), FirstMembers: cluster.List("first-members"), Boxes: pairs(cluster.List("boxes")),
+		Box: box.String("name"), Hall: box.String("hall"), Regions: parsePairs(box.List("regions")), Roles: box.List("roles"),
+		Cluster: cluster.String("name"), FirstMembers: cluster.List("first-members"), Boxes: parsePairs(cluster.List("boxes")),
 		PeerListen: peer.String("listen"), PeerAdvertise: cmp.Or(peer.String("advertise"), peer.String("listen")), AllowPlaintext: peer.String("plain-text") == "anywhere",
 		EntryListen: entry.String("listen"), MaxBody: int64(entry.Bytes("max-body")),
 		HeaderTimeout: entry.Duration("header-timeout"), BodyTimeout: entry.Duration("body-timeout"), BalancerLag: entry.Duration("balancer-lag"), StopTimeout: entry.Duration("stop-timeout"),
-		FormCluster: cluster.Bool("form"), Voters: votersOf(cluster.Int("voters"), cluster.Int("tolerate")), VotersNeedDisks: cluster.Bool("voters-need-disks"),
+		FormCluster: cluster.Bool("form"), Voters: voterCount(cluster.Int("voters"), cluster.Int("tolerate")), VotersNeedDisks: cluster.Bool("voters-need-disks"),
 		Dialect: entry.String("dialect"), ReadyListen: entry.String("ready-listen"), DrainingGrace: entry.Duration("parting"),
 		OperatorListen: operator.String("listen"), PlatformListen: operator.String("platform-listen"), AcceptWait: operator.Duration("accept-wait"), MaxAcceptWait: operator.Duration("accept-most"),
 		OrderPause: d.Section("orders").Duration("pause"), DemandSettleTime: d.Section("orders").Duration("demand-settles"),
@@ -231,21 +231,21 @@
 		ConfigLease: timing.Duration("config-lease"), RepairAfter: timing.Duration("repair-after"),
 		LogLevel: d.Section("log").String("level"),
 	}
-	s.takeSeeds(d, cluster.List("seeds"))
+	s.applySeeds(d, cluster.List("seeds"))
 	return s
 }
 
-// votersOf returns how many voters it takes to bear the loss of so many; 0: as many
+// voterCount returns how many voters it takes to bear the loss of so many; 0: as many
 // as there are first members.
-func votersOf(voters, tolerate int) int {
+func voterCount(voters, tolerate int) int {
 	if tolerate > 0 {
 		return 2*tolerate + 1
 	}
 	return voters
 }
 
-// takeSeeds names the boxes behind seeds by their IP numbers.
-func (s *Settings) takeSeeds(d *conf.Document, seeds []string) {
+// applySeeds names the boxes behind seeds by their IP numbers.
+func (s *Settings) applySeeds(d *conf.Document, seeds []string) {
 	if len(seeds) == 0 {
 		return
 	}
@@ -276,7 +276,7 @@
 	return netip.AddrPortFrom(ip, own.Port()).String()
 }
 
-func pairs(list []string) map[string]string {
+func parsePairs(list []string) map[string]string {
 	m := map[string]string{}
 	for _, item := range list {
 		name, address, _ := strings.Cut(item, "=")
@@ -322,11 +322,11 @@
 	if slices.Contains(set, true) && slices.Contains(set, false) {
 		d.Section("tls").AddFault("certificate", "only some of the TLS files are named", "certificate, key and authority, or none")
 	}
-	s.checkPlain(d)
+	s.checkPlaintext(d)
 }
 
-// checkPlain refuses plain text beyond loopback unless it was asked for.
-func (s *Settings) checkPlain(d *conf.Document) {
+// checkPlaintext refuses plain text beyond loopback unless it was asked for.
+func (s *Settings) checkPlaintext(d *conf.Document) {
 	if s.TLS.Enabled() || s.AllowPlaintext {
 		return
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "settings")
 }
 
-const good = `
+const validSettings = `
 [box]
 name = one
 hall = rosenheim
@@ -37,7 +37,7 @@
 
 var _ = Describe("the settings of a box", func() {
 	It("are read with their defaults", func() {
-		s, err := settings.Parse("box.ini", []byte(good))
+		s, err := settings.Parse("box.ini", []byte(validSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.IsControl()).To(BeTrue())
 		Expect(s.Boxes).To(HaveKeyWithValue("one", "127.0.0.1:7001"))
@@ -46,8 +46,8 @@
 
 	DescribeTable("name each fault with file, section, key, problem and what is allowed",
 		func(old, changed, section, key, problem string) {
-			text := strings.Replace(good, old, changed, 1)
-			Expect(text).NotTo(Equal(good))
+			text := strings.Replace(validSettings, old, changed, 1)
+			Expect(text).NotTo(Equal(validSettings))
 			_, err := settings.Parse("box.ini", []byte(text))
 			var faults conf.Faults
 			Expect(err).To(BeAssignableToTypeOf(faults))
@@ -92,7 +92,7 @@
 })
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("[box"))
 	f.Add([]byte("[a]\nx=\"\"\"\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
