--- a/fleet/capacity.go
+++ b/fleet/capacity.go
@@ -9,11 +9,11 @@
 	"github.com/dustin/go-humanize"
 )
 
-// sortedNames returns the names of a map in order.
+// sortedNames returns the keys of a map in ascending order.
 func sortedNames[T any](m map[string]*T) []string { return slices.Sorted(maps.Keys(m)) }
 
-// SortedModels returns the models, those of high priority and size first, so
-// that what is hard to place is placed first.
+// SortedModels returns the models by descending priority and size, so that models
+// that are hard to place come first.
 func (f *Fleet) SortedModels() []*Model {
 	list := slices.Collect(maps.Values(f.Models))
 	slices.SortFunc(list, func(a, b *Model) int {
@@ -22,7 +22,7 @@
 	return list
 }
 
-// SortedServers returns the model servers by name.
+// SortedServers returns the model servers in the order of their names.
 func (f *Fleet) SortedServers() []*Server {
 	var list []*Server
 	for _, name := range sortedNames(f.Servers) {
@@ -31,14 +31,14 @@
 	return list
 }
 
-// accelerator is the room left on one accelerator.
+// accelerator is the free memory of one accelerator.
 type accelerator struct {
 	server *Server
 	free   uint64
 }
 
-// checkCapacity refuses a file whose models cannot all be resident once, on the
-// servers that are not leaving, and says what is short.
+// checkCapacity adds a fault for each model for which the servers that are not
+// draining have no capacity for one copy, and states how much memory is missing.
 func (r *reader) checkCapacity() {
 	var accelerators []*accelerator
 	for _, s := range r.fleet.SortedServers() {
@@ -54,7 +54,7 @@
 			best.free -= m.Footprint()
 			continue
 		}
-		r.doc.Section("fleet").AddFault("", shortage(accelerators, m), "models that fit the servers' memory")
+		r.doc.Section("fleet").AddFault("", shortage(accelerators, m), "models that fit into the servers' memory")
 	}
 }
 
@@ -84,6 +84,6 @@
 			largest = max(largest, s.free)
 		}
 	}
-	return fmt.Sprintf("model %s cannot be resident: it takes %s with its adapters, the largest room left where it may run is %s, %s short",
+	return fmt.Sprintf("model %s cannot be resident: it needs %s with its adapters, the largest free memory where it may run is %s, %s short",
 		m.Name, humanize.IBytes(m.Footprint()), humanize.IBytes(largest), humanize.IBytes(m.Footprint()-largest))
 }
--- a/fleet/codec.go
+++ b/fleet/codec.go
@@ -10,14 +10,14 @@
 	"leverdrum/level"
 )
 
-// Error is the class of this package's errors beside conf.Faults.
+// Error is the class of this package's errors other than conf.Faults.
 var Error = errs.Class("fleet")
 
-// Codec reads a description that is written in another format than INI.
+// Codec decodes a fleet description in a format other than INI.
 type Codec struct {
-	// Decode must give the same fleet on every box at a level, and fails with conf.Faults.
+	// Decode must return the same fleet on every box at a given level. Its error is conf.Faults.
 	Decode func(l level.Level, text []byte) (*Fleet, error)
-	// Redact returns the description with digests in place of workspaces' keys.
+	// Redact returns the description with the keys of workspaces replaced by their digests.
 	Redact func(text []byte) ([]byte, error)
 }
 
@@ -26,19 +26,19 @@
 	codecs   = map[string]Codec{}
 )
 
-// Register makes a codec known under the name of its format. It is called before
-// any description is read.
+// Register adds a codec under the name of its format. It must be called before
+// any description is decoded.
 func Register(format string, c Codec) {
 	codecsMu.Lock()
 	defer codecsMu.Unlock()
 	codecs[format] = c
 }
 
-// Decode reads a description in the format, "" for INI, as this build's newest level has it.
+// Decode decodes a description in the given format, "" for INI, at the newest level of this build.
 func Decode(format string, text []byte) (*Fleet, error) { return DecodeAt(level.Newest, format, text) }
 
-// DecodeAt reads a description as a level has it: what is agreed of it must be the same for builds that
-// know no further one.
+// DecodeAt decodes a description at a given level. Builds that support no higher level must derive the same
+// replicated state from it.
 func DecodeAt(l level.Level, format string, text []byte) (*Fleet, error) {
 	if format == "" {
 		return parseAt(l, "fleet", text)
@@ -52,8 +52,8 @@
 	return c.Decode(l, text)
 }
 
-// New returns an empty fleet with the defaults of the INI file, for codecs to
-// fill.
+// New returns an empty fleet with the defaults of the INI file. Codecs fill it
+// in.
 func New() *Fleet {
 	f := newFleet()
 	f.AttainmentWeight, f.MoveWeight, f.AffinitySlack, f.TargetUtilization, f.DemandHorizon = 1, 200, 0.5, 0.8, 5*time.Minute
@@ -61,10 +61,11 @@
 	return f
 }
 
-// AdapterName names an on-demand adapter, unlike those of other models.
+// AdapterName returns the name of an on-demand adapter, which is unique among
+// the adapters of all models.
 func AdapterName(model, adapter string) string { return model + "/" + adapter }
 
-// SplitAdapter undoes AdapterName; the adapter is empty for a model.
+// SplitAdapter is the inverse of AdapterName; the adapter is empty for a model.
 func SplitAdapter(name string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(name, "/")
 	return model, adapter
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet reads and checks the operators' complete description of what is
-// to run where.
+// Package fleet reads and validates the fleet file: the operators' complete
+// description of the servers, models and services, and where they may run.
 package fleet
 
 import (
@@ -15,17 +15,17 @@
 	"leverdrum/workspace"
 )
 
-// Fleet is a checked fleet file.
+// Fleet is the content of a valid fleet file.
 type Fleet struct {
 	Number           uint64
 	AttainmentWeight float64
 	MoveWeight       float64
-	// DemandHorizon is how long demand is taken to last: what a move gains is reckoned
-	// over that time.
+	// DemandHorizon is how long demand is assumed to last. The gain of a move is
+	// computed over that time.
 	DemandHorizon time.Duration
 	AffinitySlack float64
-	// TargetUtilization is the share of a model server's places up to which answers come in
-	// time.
+	// TargetUtilization is the share of a model server's slots up to which responses
+	// are on time.
 	TargetUtilization  float64
 	LoadsPerSecond     float64
 	MaxConcurrentLoads int
@@ -37,14 +37,15 @@
 	Adapters  map[string]*Adapter
 	Services  map[string]*Service
 	Instances map[string]*Instance
-	// Routes, by host and path, lead to pools.
+	// Routes map hosts and paths to pools.
 	Routes []*Route
 	// Pools are the services whose backend servers announce themselves.
 	Pools map[string]*Pool
-	// HasWarmUp tells that servers of some pool take less while they warm up.
+	// HasWarmUp reports whether the servers of some pool accept fewer requests while
+	// they warm up.
 	HasWarmUp bool
 	Limits    Limits
-	// Workspaces are whom requests belong to, nil where nobody needs a key.
+	// Workspaces own the requests; nil if no caller needs a key.
 	Workspaces *workspace.Registry
 	kinds      map[string]*Kind
 }
@@ -70,20 +71,20 @@
 	Memory        uint64 // bytes of one accelerator
 	KVReserve     uint64 // bytes of one accelerator
 	Concurrency   int
-	// ResumesStreams tells that a stream may go on at another server of the kind.
+	// ResumesStreams reports whether a stream can resume at another server of the kind.
 	ResumesStreams bool
-	// CountsOrders tells that a server refuses an order that does not name the
-	// count of orders that it has taken, so that of all copies of one order at
-	// most one runs.
+	// CountsOrders reports whether a server rejects an order that does not state
+	// the number of orders that the server has accepted, so that at most one of all
+	// duplicates of an order runs.
 	CountsOrders bool
-	// AdapterSlots bounds the adapters on one accelerator; 0: no bound.
+	// AdapterSlots is the maximum number of adapters on one accelerator; 0: no limit.
 	AdapterSlots int
-	// FetchPerToken is how long a server takes to fetch one token of a prompt that
-	// another of its kind has kept; 0: it cannot.
+	// FetchPerToken is how long a server takes to fetch one token of a prompt prefix
+	// that another server of its kind has cached; 0: it cannot fetch.
 	FetchPerToken time.Duration
 }
 
-// UsableMemory returns the bytes of one accelerator that models and adapters may take.
+// UsableMemory returns the bytes of one accelerator that are available to models and adapters.
 func (k *Kind) UsableMemory() uint64 { return k.Memory - k.KVReserve }
 
 // Server is a model server.
@@ -93,8 +94,8 @@
 	Hall     string
 	Kind     *Kind
 	Draining bool
-	// Pool is the service that the server announced itself for, "" when the file
-	// names the server.
+	// Pool is the service for which the server announced itself, or "" if the file
+	// lists the server.
 	Pool string
 }
 
@@ -110,14 +111,16 @@
 	MaxCopies    int
 	ExpectedRate float64 // requests a second
 	Adapters     []*Adapter
-	// Pool is the service whose servers hold the model, "" for the file's own.
+	// Pool is the service whose servers hold the model, or "" for the servers that
+	// the file lists.
 	Pool string
-	// LoadTime is how long a load from the weight store takes, alone; WarmTime
-	// and DiskTime from a server's own memory and disk. 0 when not known.
+	// LoadTime is the duration of a load from the weight store without concurrent
+	// loads. WarmTime and DiskTime are those of loads from the server's own memory
+	// and disk. 0 if unknown.
 	LoadTime, WarmTime, DiskTime time.Duration
 }
 
-// Footprint returns the bytes that one copy takes with all its adapters.
+// Footprint returns the size in bytes of one copy with all its adapters.
 func (m *Model) Footprint() uint64 {
 	sum := m.Memory
 	for _, a := range m.Adapters {
@@ -126,7 +129,7 @@
 	return sum
 }
 
-// MayRunIn reports whether a copy may stand in the hall.
+// MayRunIn reports whether a copy may be placed in the hall.
 func (m *Model) MayRunIn(hall string) bool {
 	return len(m.Halls) == 0 || slices.Contains(m.Halls, hall)
 }
@@ -150,14 +153,14 @@
 	Instances     []*Instance
 }
 
-// Call names calls by method and path.
+// Call matches calls by method and path.
 type Call struct {
 	Method string
 	Path   string // without the trailing *
 	Prefix bool
 }
 
-// Matches reports whether the call is meant.
+// Matches reports whether c covers the call.
 func (c Call) Matches(method, path string) bool {
 	if c.Method != method {
 		return false
@@ -168,8 +171,8 @@
 	return path == c.Path
 }
 
-// Repeatable reports whether a call may be sent again when its outcome is not
-// known.
+// Repeatable reports whether a call may be retried after an attempt with unknown
+// outcome.
 func (s *Service) Repeatable(method, path string) bool {
 	return !slices.ContainsFunc(s.NonRepeatable, func(c Call) bool { return c.Matches(method, path) })
 }
@@ -184,14 +187,14 @@
 	Concurrency int
 }
 
-// Digest names a file's content.
+// Digest returns the hexadecimal SHA-256 hash of a file's content.
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// Parse checks a fleet file; path is for the faults only. The error is
-// conf.Faults.
+// Parse reads and validates a fleet file. The path is used only in faults. The
+// error is conf.Faults.
 func Parse(path string, text []byte) (*Fleet, error) { return parseAt(level.Newest, path, text) }
 
 func parseAt(l level.Level, path string, text []byte) (*Fleet, error) {
@@ -250,7 +253,7 @@
 		for i, text := range p.List("keys") {
 			d, err := workspace.ParseKey(text)
 			if err != nil {
-				p.AddFault("keys", fmt.Sprintf("key %d cannot be used: %v", i+1, err), "keys as `leverdrum key` makes them, or their digests")
+				p.AddFault("keys", fmt.Sprintf("key %d is invalid: %v", i+1, err), "keys generated by `leverdrum key`, or their digests")
 				continue
 			}
 			w.Keys = append(w.Keys, d)
@@ -260,7 +263,7 @@
 	}
 	registry, conflicts := workspace.NewRegistry(list)
 	for _, c := range conflicts {
-		parts[c.Second].AddFault("keys", c.String(), "each key in one workspace")
+		parts[c.Second].AddFault("keys", c.String(), "each key in one workspace only")
 	}
 	r.fleet.Workspaces = registry
 }
@@ -274,7 +277,7 @@
 			ResumesStreams: p.Bool("resumes-streams"),
 		}
 		if k.KVReserve >= k.Memory {
-			p.AddFault("kv-reserve", "leaves no memory for models", "less than memory")
+			p.AddFault("kv-reserve", "leaves no memory for models", "a value below memory")
 		}
 		f.kinds[p.Name] = k
 	}
@@ -298,7 +301,7 @@
 		}
 		for _, hall := range m.Halls {
 			if f.Halls[hall] == nil {
-				p.AddFault("halls", fmt.Sprintf("%q is no hall of this file", hall), names(f.Halls))
+				p.AddFault("halls", fmt.Sprintf("%q is not a hall of this file", hall), names(f.Halls))
 			}
 		}
 		f.Models[p.Name] = m
@@ -306,7 +309,7 @@
 	for _, p := range r.doc.Sections("adapter") {
 		a := &Adapter{Name: p.Name, Model: p.String("model"), Version: p.String("version"), Memory: p.Bytes("memory")}
 		if f.Models[p.Name] != nil {
-			p.AddFault("", "a model has the same name", "a name of its own")
+			p.AddFault("", "a model has the same name", "a unique name")
 		}
 		if m := lookup(p, "model", f.Models); m != nil {
 			m.Adapters = append(m.Adapters, a)
@@ -322,7 +325,7 @@
 		for _, text := range p.List("non-repeatable") {
 			c, ok := parseCall(text)
 			if !ok {
-				p.AddFault("non-repeatable", fmt.Sprintf("%q names no call", text), "METHOD /path, METHOD /path*")
+				p.AddFault("non-repeatable", fmt.Sprintf("%q is not a call", text), "METHOD /path, METHOD /path*")
 			}
 			s.NonRepeatable = append(s.NonRepeatable, c)
 		}
@@ -338,7 +341,7 @@
 			s.Instances = append(s.Instances, i)
 		}
 		if f.Servers[p.Name] != nil {
-			p.AddFault("", "a model server has the same name", "a name of its own")
+			p.AddFault("", "a model server has the same name", "a unique name")
 		}
 		f.Instances[p.Name] = i
 	}
@@ -355,7 +358,7 @@
 	return c, true
 }
 
-// lookup looks up the section that a key names and notes a fault if there is none.
+// lookup returns the section that a key refers to, and adds a fault if there is none.
 func lookup[T any](p *conf.SectionValues, key string, in map[string]*T) *T {
 	name := p.String(key)
 	if v := in[name]; v != nil || name == "" {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -52,17 +52,17 @@
 `
 
 var _ = Describe("a fleet file", func() {
-	It("is read whole", func() {
+	It("is read completely", func() {
 		f, err := fleet.Parse("f.ini", []byte(validFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.Number).To(BeEquivalentTo(7))
 		Expect(f.Models["cat"].Footprint()).To(BeEquivalentTo(41 << 30))
 		Expect(f.Servers["m1"].Kind.UsableMemory()).To(BeEquivalentTo(64 << 30))
-		Expect(f.Servers["m1"].Kind.ChecksFences).To(BeFalse(), "the careful kind is the default")
+		Expect(f.Servers["m1"].Kind.ChecksFences).To(BeFalse(), "the default assumes no fencing check")
 		Expect(f.Services["shop"].Instances).To(HaveLen(1))
 	})
 
-	DescribeTable("names each fault",
+	DescribeTable("reports each fault",
 		func(old, changed, section, key, problem string) {
 			text := strings.Replace(validFile, old, changed, 1)
 			Expect(text).NotTo(Equal(validFile))
@@ -79,17 +79,17 @@
 		Entry("an unknown class", "class = till\nhalls", "class = x\nhalls", "model cat", "class", "not in this file"),
 		Entry("an unknown model", "model = cat", "model = dog", "adapter parish", "model", "not in this file"),
 		Entry("an unknown service", "service = shop", "service = s", "instance shop1", "service", "not in this file"),
-		Entry("an unknown hall of a model", "halls = a", "halls = a, z", "model cat", "halls", "no hall"),
+		Entry("an unknown hall of a model", "halls = a", "halls = a, z", "model cat", "halls", "not a hall"),
 		Entry("a reserve above the memory", "kv-reserve = 16GiB", "kv-reserve = 80GiB", "kind big", "kv-reserve", "no memory"),
 		Entry("too few copies allowed", "halls = a", "copies = 5", "model cat", "max-copies", "below copies"),
-		Entry("a call without a path", "POST /orders,", "POST,", "service shop", "non-repeatable", "names no call"),
-		Entry("a model and an adapter of one name", "[adapter parish]", "[adapter cat]", "adapter cat", "", "same name"),
+		Entry("a call without a path", "POST /orders,", "POST,", "service shop", "non-repeatable", "not a call"),
+		Entry("a model and an adapter with the same name", "[adapter parish]", "[adapter cat]", "adapter cat", "", "same name"),
 		Entry("a model that is too large", "memory = 40GiB", "memory = 70GiB", "fleet", "", "7.0 GiB short"),
-		Entry("a model that may not run where room is", "halls = a", "halls = b", "fleet", "", "cannot be resident"),
-		Entry("only leaving servers", "kind = big", "kind = big\nleaving = true", "fleet", "", "cannot be resident"),
+		Entry("a model that may not run where memory is free", "halls = a", "halls = b", "fleet", "", "cannot be resident"),
+		Entry("only draining servers", "kind = big", "kind = big\nleaving = true", "fleet", "", "cannot be resident"),
 	)
 
-	DescribeTable("tells which calls may be repeated",
+	DescribeTable("determines which calls may be retried",
 		func(method, path string, repeatable bool) {
 			f, err := fleet.Parse("f.ini", []byte(validFile))
 			Expect(err).NotTo(HaveOccurred())
@@ -108,7 +108,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		v, err := fleet.Parse("x", data)
 		if (v == nil) == (err == nil) {
-			t.Fatal("exactly one of fleet and faults must come back")
+			t.Fatal("want either a fleet or faults")
 		}
 	})
 }
--- a/fleet/redact.go
+++ b/fleet/redact.go
@@ -7,8 +7,8 @@
 	"leverdrum/workspace"
 )
 
-// Redact returns a description with the digest in place of each key, for people to read. In INI it is a description
-// of the same fleet.
+// Redact returns a description for display, with each key replaced by its digest. For INI the result still describes
+// the same fleet.
 func Redact(format string, text []byte) ([]byte, error) {
 	if format == "" {
 		return redactINI(text), nil
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// RouteKind says what may be repeated.
+// RouteKind determines which requests of a route may be retried.
 type RouteKind string
 
 // The kinds of routes.
@@ -16,37 +16,39 @@
 	Safe RouteKind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe RouteKind = "unsafe"
-	// Streaming requests are answered by a series of events, and run at most once
-	// unless the route is resumable.
+	// Streaming requests receive a stream of events. They run at most once unless
+	// the route is resumable.
 	Streaming RouteKind = "streaming"
 )
 
-// Route leads requests of one host and path to pools.
+// Route maps requests with a host and path prefix to pools.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   RouteKind
-	// Resumable streams may go on at another server.
+	// Resumable reports whether a stream can resume at another server.
 	Resumable bool
-	// Timeout bounds the time from a request's arrival to its end.
+	// Timeout is the maximum time from a request's arrival to its end.
 	Timeout time.Duration
-	// LatencyTarget is the time to the answer, or to the first event, that callers want.
+	// LatencyTarget is the time to the response, or to the first event of a stream,
+	// that callers expect.
 	LatencyTarget time.Duration
-	// EventGapTarget is the longest time between two events that callers want, 0: any.
+	// EventGapTarget is the longest time between two events that callers expect; 0:
+	// no target.
 	EventGapTarget time.Duration
-	// FirstEventTimeout is how long callers of a stream wait for its first event, 0: to their
-	// deadline.
+	// FirstEventTimeout is how long callers of a stream wait for its first event; 0:
+	// until their deadline.
 	FirstEventTimeout time.Duration
-	// Rank is the urgency, 0 the highest.
+	// Rank is the urgency; 0 is the highest.
 	Rank int
-	// MaxAttempts bounds the servers that one request is sent to.
+	// MaxAttempts is the maximum number of servers to which one request is sent.
 	MaxAttempts int
-	// Affinity keeps requests with the same prompt parts together.
+	// Affinity routes requests with the same prompt parts to the same server.
 	Affinity bool
 	// Public routes need no key.
 	Public bool
-	// Regions are those in which its requests may be served, none: any.
+	// Regions are the regions in which its requests may be served; empty: any.
 	Regions []string
 	Split   []Share
 }
@@ -56,7 +58,7 @@
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Share is one pool's part of a route's requests.
+// Share is the share of a route's requests that one pool receives.
 type Share struct {
 	Pool   string
 	Weight int
@@ -65,24 +67,24 @@
 // Pool is a service whose backend servers announce themselves.
 type Pool struct {
 	Name string
-	// MaxConnections bounds the connections of all boxes to one server.
+	// MaxConnections is the maximum number of connections of all boxes to one server.
 	MaxConnections int
-	// Kind is what its servers are, nil for plain services.
+	// Kind is the kind of its servers, nil for plain services.
 	Kind *Kind
-	// WarmUpRate is how many requests a second one of its servers takes while it warms up, 0: as many as ever.
+	// WarmUpRate is the number of requests per second that a server accepts while it warms up; 0: no reduced rate.
 	WarmUpRate float64
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on callers' requests.
 type Limits struct {
-	MaxHeader, MaxBody         int64 // bytes; 0: the box's own
+	MaxHeader, MaxBody         int64 // bytes; 0: the setting of the box
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
 // RouteTable finds the route of a request.
 type RouteTable struct{ byHost map[string][]*Route }
 
-// NewRouteTable orders routes by host and the length of their prefixes.
+// NewRouteTable indexes routes by host, with the longest prefixes first.
 func NewRouteTable(list []*Route) *RouteTable {
 	t := &RouteTable{map[string][]*Route{}}
 	for _, r := range list {
@@ -95,8 +97,8 @@
 	return t
 }
 
-// Find returns the route of the host with the longest prefix that begins the
-// path, nil when there is none. A port behind the host is passed over.
+// Find returns the route of the host with the longest prefix of the path, or nil
+// if there is none. It ignores a port in the host.
 func (t *RouteTable) Find(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -109,5 +111,5 @@
 	return nil
 }
 
-// MayRunOn reports whether a copy may stand on the server.
+// MayRunOn reports whether a copy may be placed on the server.
 func (m *Model) MayRunOn(s *Server) bool { return m.Pool == s.Pool && m.MayRunIn(s.Hall) }
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -53,11 +53,11 @@
 		found := fleet.NewRouteTable(list).Find("h", path)
 		for _, r := range list {
 			if strings.HasPrefix(path, r.Prefix) && (found == nil || len(r.Prefix) > len(found.Prefix)) {
-				t.Fatalf("%q is longer than what was found for %q", r.Prefix, path)
+				t.Fatalf("%q is a longer prefix than the one found for %q", r.Prefix, path)
 			}
 		}
 		if found != nil && !strings.HasPrefix(path, found.Prefix) {
-			t.Fatalf("%q does not begin %q", found.Prefix, path)
+			t.Fatalf("%q is not a prefix of %q", found.Prefix, path)
 		}
 	})
 }
--- a/fleet/workspaces_test.go
+++ b/fleet/workspaces_test.go
@@ -42,11 +42,11 @@
 
 func TestInvalidWorkspaceFaultsHideKeys(t *testing.T) {
 	for name, row := range map[string]struct{ old, next, want string }{
-		"a key of two":      {"keys = key-of-the-library", "keys = " + plainKey, "held by atelier and by library"},
-		"too short a key":   {"keys = key-of-the-library", "keys = secret", "6 bytes"},
-		"a broken digest":   {"sha256:77af", "sha256:", "no SHA-256"},
-		"an unknown unit":   {"unit = tokens", "unit = words", "unit"},
-		"a rate below zero": {"rate = 5000", "rate = -1", "rate"},
+		"a shared key":       {"keys = key-of-the-library", "keys = " + plainKey, "held by atelier and by library"},
+		"too short a key":    {"keys = key-of-the-library", "keys = secret", "6 bytes"},
+		"a malformed digest": {"sha256:77af", "sha256:", "no SHA-256"},
+		"an unknown unit":    {"unit = tokens", "unit = words", "unit"},
+		"a rate below zero":  {"rate = 5000", "rate = -1", "rate"},
 	} {
 		g := NewWithT(t)
 		text := strings.Replace(withKeys, row.old, row.next, 1)
