--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,8 +1,8 @@
-// Package conf reads INI files against a table of sections and keys, and finds
-// every fault of a file in one run.
+// Package conf reads and validates INI files against a schema of sections and
+// keys, and reports all faults of a file in one run.
 //
-// The tables are data: the same entries check a file and yield its page in the
-// docs.
+// The schema is data: the same entries validate a file and generate its
+// documentation page.
 package conf
 
 import (
@@ -17,35 +17,35 @@
 
 // Key describes one setting.
 type Key struct {
-	// Name is the key as it is written.
+	// Name is the key as written in the file.
 	Name string
-	// Type says how the value is read.
+	// Type determines how the value is parsed.
 	Type Type
-	// Description tells an operator what the setting does.
+	// Description explains the setting to operators.
 	Description string
-	// Default is the value when the key is left out.
+	// Default is the value if the key is not set.
 	Default string
 	// Required keys have no default.
 	Required bool
 	// Choices are the allowed values of the types Choice and Choices.
 	Choices []string
-	// Min is the least value of the numeric types.
+	// Min is the minimum value for the numeric types.
 	Min float64
 }
 
-// Section describes one kind of section. A named kind is written
-// "[kind name]" and may come any number of times.
+// Section describes one kind of section. A section of a named kind is written
+// "[kind name]" and may occur any number of times.
 type Section struct {
 	Kind        string
 	Description string
-	// Named sections carry a name of their own.
+	// Named sections have a name.
 	Named bool
-	// Required sections must be in the file.
+	// Required sections must be present in the file.
 	Required bool
 	Keys     []Key
 }
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File    string `json:"file"`
 	Section string `json:"section"`
@@ -54,7 +54,7 @@
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// String renders the fault on one line.
+// String formats the fault on one line.
 func (f Fault) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -71,10 +71,10 @@
 	return b.String()
 }
 
-// Faults is a list of faults that is an error.
+// Faults is a list of faults that implements error.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error lists the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -83,16 +83,16 @@
 	return strings.Join(lines, "\n")
 }
 
-// Document is a file that was read, with the faults found so far.
+// Document is a parsed file with the faults found so far.
 type Document struct {
 	file     string
 	sections []*SectionValues
 	faults   Faults
 }
 
-// SectionValues is one section of a document.
+// SectionValues holds the values of one section of a document.
 type SectionValues struct {
-	// Name is the section's own name, "" for kinds without.
+	// Name is the section's name, "" for kinds that are not named.
 	Name string
 
 	doc     *Document
@@ -102,11 +102,11 @@
 	present map[string]bool
 }
 
-// MaxBytes bounds the size of a file.
+// MaxBytes is the maximum size of a file.
 const MaxBytes = 4 << 20
 
-// Read checks data against the schema. The document always comes back; its
-// faults are in Faults.
+// Read parses data and validates it against the schema. It always returns a
+// document, whose Faults lists the errors.
 func Read(file string, data []byte, schema []Section) *Document {
 	d := &Document{file: file}
 	if len(data) > MaxBytes {
@@ -114,7 +114,7 @@
 		return d
 	}
 	if bytes.IndexByte(data, 0) >= 0 {
-		d.addFault("", "", "the file holds a zero byte", "text in UTF-8")
+		d.addFault("", "", "the file contains a zero byte", "text in UTF-8")
 		return d
 	}
 	raw, err := ini.LoadSources(ini.LoadOptions{
@@ -126,7 +126,7 @@
 		AllowDuplicateShadowValues: true,
 	}, data)
 	if err != nil {
-		d.addFault("", "", err.Error(), "sections, keys and values in INI")
+		d.addFault("", "", err.Error(), "sections, keys and values in INI format")
 		return d
 	}
 	for _, s := range raw.Sections() {
@@ -140,10 +140,10 @@
 	d.faults = append(d.faults, Fault{d.file, section, key, problem, allowed})
 }
 
-// Faults returns all faults, nil when there is none.
+// Faults returns all faults, or nil if there are none.
 func (d *Document) Faults() Faults { return d.faults }
 
-// AddFault adds a fault that the caller found in a part's key.
+// AddFault adds a fault that the caller found in a key of the section.
 func (p *SectionValues) AddFault(key, problem, allowed string) {
 	p.doc.addFault(p.title, key, problem, allowed)
 }
@@ -168,7 +168,7 @@
 	kind := schema[i]
 	name = strings.TrimSpace(name)
 	if kind.Named && !ValidName(name) {
-		d.addFault(title, "", "the section needs a name", kind.Kind+" NAME, the name of letters, digits and . _ -")
+		d.addFault(title, "", "the section requires a name", kind.Kind+" NAME, where NAME has letters, digits and . _ -")
 		return
 	}
 	if !kind.Named && name != "" {
@@ -176,7 +176,7 @@
 		return
 	}
 	if slices.ContainsFunc(d.sections, func(p *SectionValues) bool { return p.kind.Kind == kind.Kind && p.Name == name }) {
-		d.addFault(title, "", "the section stands twice", "once")
+		d.addFault(title, "", "the section occurs twice", "once")
 		return
 	}
 	d.sections = append(d.sections, d.readKeys(s, kind, title, name))
@@ -192,7 +192,7 @@
 		}
 		p.present[k.Name()] = true
 		if len(k.ValueWithShadows()) > 1 {
-			d.addFault(title, k.Name(), "the key stands twice", "once")
+			d.addFault(title, k.Name(), "the key occurs twice", "once")
 			continue
 		}
 		p.readKey(kind.Keys[i], k.String())
@@ -237,7 +237,7 @@
 	}
 }
 
-// defaultSection stands in for an optional section that was left out.
+// defaultSection returns the default values of an optional section that the file omits.
 func (d *Document) defaultSection(k Section) *SectionValues {
 	p := &SectionValues{doc: d, kind: k, title: k.Kind, values: map[string]any{}, present: map[string]bool{}}
 	for _, key := range k.Keys {
@@ -248,7 +248,7 @@
 	return p
 }
 
-// Sections returns the sections of a kind in the order of the file.
+// Sections returns the sections of a kind in file order.
 func (d *Document) Sections(kind string) []*SectionValues {
 	var list []*SectionValues
 	for _, p := range d.sections {
@@ -259,8 +259,8 @@
 	return list
 }
 
-// Section returns the only section of a kind without names. One that is missing
-// although required comes back empty; its fault is noted already.
+// Section returns the section of a kind that is not named. It returns empty values
+// for a required section that is missing, whose fault has been added already.
 func (d *Document) Section(kind string) *SectionValues {
 	if list := d.Sections(kind); len(list) > 0 {
 		return list[0]
@@ -268,7 +268,7 @@
 	return &SectionValues{doc: d, title: kind, values: map[string]any{}, present: map[string]bool{}}
 }
 
-// IsSet reports whether the file itself names the key.
+// IsSet reports whether the file sets the key.
 func (p *SectionValues) IsSet(key string) bool { return p.present[key] }
 
 func get[T any](p *SectionValues, key string) T {
@@ -279,7 +279,7 @@
 // String returns the value of a Text, Name, Address or Choice key.
 func (p *SectionValues) String(key string) string { return get[string](p, key) }
 
-// List returns the value of a key that lists several words.
+// List returns the value of a key with a list type.
 func (p *SectionValues) List(key string) []string { return get[[]string](p, key) }
 
 // Duration returns the value of a Duration key.
--- a/internal/conf/docs.go
+++ b/internal/conf/docs.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown renders a schema as the tables of a docs page.
+// Markdown renders a schema as the tables of a documentation page.
 func Markdown(schema []Section) string {
 	var b strings.Builder
 	for _, s := range schema {
--- a/internal/conf/types.go
+++ b/internal/conf/types.go
@@ -12,14 +12,14 @@
 	"github.com/dustin/go-humanize"
 )
 
-// Type says how a value is written.
+// Type is the type of a value, which determines its syntax.
 type Type int
 
-// The types of values.
+// Value types.
 const (
 	// Text is any text on one line.
 	Text Type = iota
-	// Name is of letters, digits and . _ -
+	// Name consists of letters, digits and . _ -
 	Name
 	// Names is a list of names, separated by commas.
 	Names
@@ -31,7 +31,7 @@
 	Duration
 	// Bytes is a number with a unit, such as 14GiB.
 	Bytes
-	// Int is a whole number.
+	// Int is an integer.
 	Int
 	// Float is a number.
 	Float
@@ -41,7 +41,7 @@
 	Choice
 	// Choices is a list of the key's choices, separated by commas.
 	Choices
-	// Texts is a list of any texts, separated by commas.
+	// Texts is a list of arbitrary strings, separated by commas.
 	Texts
 )
 
@@ -53,7 +53,7 @@
 	Addresses: "name=IP number:port, separated by commas",
 	Duration:  "a duration such as 250ms or 2s",
 	Bytes:     "bytes with a unit, such as 14GiB",
-	Int:       "a whole number",
+	Int:       "an integer",
 	Float:     "a number",
 	Bool:      "true or false",
 	Texts:     "texts, separated by commas",
@@ -61,7 +61,7 @@
 
 const maxNameLength = 128
 
-// ValidName reports whether s can name a box, hall, model or the like.
+// ValidName reports whether s is a valid name of a box, hall, model or other named item.
 func ValidName(s string) bool {
 	if s == "" || len(s) > maxNameLength {
 		return false
@@ -110,7 +110,7 @@
 func (k Key) parse(text string) (any, error) {
 	switch k.Type {
 	case Name:
-		return text, check(ValidName(text), "is no name")
+		return text, check(ValidName(text), "is not a valid name")
 	case Address:
 		return text, parseAddress(text)
 	case Choice:
@@ -119,10 +119,10 @@
 		return k.parseList(text)
 	case Duration:
 		d, err := time.ParseDuration(text)
-		return d, check(err == nil && d >= 0, "is no duration")
+		return d, check(err == nil && d >= 0, "is not a duration")
 	case Bytes:
 		n, err := humanize.ParseBytes(text)
-		return n, check(err == nil, "is no size")
+		return n, check(err == nil, "is not a size")
 	case Int:
 		n, err := strconv.Atoi(text)
 		return n, check(err == nil && float64(n) >= k.Min, "is out of range")
@@ -144,7 +144,7 @@
 			continue
 		}
 		if slices.Contains(list, item) {
-			return nil, fmt.Errorf("names %q twice", item)
+			return nil, fmt.Errorf("lists %q twice", item)
 		}
 		if err := k.checkItem(item); err != nil {
 			return nil, err
@@ -157,23 +157,23 @@
 func (k Key) checkItem(item string) error {
 	switch k.Type {
 	case Names:
-		return check(ValidName(item), "holds something that is no name")
+		return check(ValidName(item), "has an item that is not a valid name")
 	case Choices:
-		return check(slices.Contains(k.Choices, item), "holds an unknown word")
+		return check(slices.Contains(k.Choices, item), "has an unknown item")
 	case Addresses:
 		name, address, ok := strings.Cut(item, "=")
 		if !ok || !ValidName(name) {
-			return errors.New("holds something other than name=address")
+			return errors.New("has an item that is not of the form name=address")
 		}
 		return parseAddress(address)
 	}
 	return nil
 }
 
-// parseAddress takes IP numbers only: the boxes look up no names.
+// parseAddress accepts only IP numbers, since boxes do not resolve host names.
 func parseAddress(text string) error {
 	a, err := netip.ParseAddrPort(text)
-	return check(err == nil && a.IsValid(), "is no IP number with a port")
+	return check(err == nil && a.IsValid(), "is not an IP number with a port")
 }
 
 func check(ok bool, problem string) error {
--- a/settings/seeds_test.go
+++ b/settings/seeds_test.go
@@ -35,12 +35,12 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Boxes).To(Equal(map[string]string{"10.0.0.1": "10.0.0.1:7380", "10.0.0.2": "10.0.0.2:7380"}))
 		Expect(s.FirstMembers).To(Equal([]string{"10.0.0.1", "10.0.0.2"}))
-		Expect(s.Voters).To(Equal(5), "two lost at once")
-		Expect(s.AddressOf("10.0.0.9")).To(Equal("10.0.0.9:7380"), "a box that no seed names is found by its name")
+		Expect(s.Voters).To(Equal(5), "tolerates two failures at once")
+		Expect(s.AddressOf("10.0.0.9")).To(Equal("10.0.0.9:7380"), "a box that is not a seed is found by its name")
 		Expect(s.AddressOf("one")).To(BeEmpty())
 	})
 
-	It("form no cluster unless they are said to", func() {
+	It("form no cluster unless form is set", func() {
 		s, err := settings.Parse("box.ini", []byte(strings.Replace(settingsWithSeeds, "form = true", "form = false", 1)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.FirstMembers).To(BeEmpty())
@@ -51,7 +51,7 @@
 		Expect(err).To(MatchError(ContainSubstring(problem)))
 	},
 		Entry("neither seeds nor boxes", "seeds = 10.0.0.1:8144, 10.0.0.2:8144\n", "", "nor seeds"),
-		Entry("both", "form = true", "boxes = one=10.0.0.1:1", "beside boxes"),
-		Entry("no address", "10.0.0.2:8144", "box2:8144", "is no address"),
+		Entry("both", "form = true", "boxes = one=10.0.0.1:1", "together with boxes"),
+		Entry("no address", "10.0.0.2:8144", "box2:8144", "is not an address"),
 	)
 })
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the INI file of one box.
+// Package settings reads and validates the INI file of one box.
 package settings
 
 import (
@@ -15,115 +15,116 @@
 
 // Roles of a box.
 const (
-	// RoleControl boxes keep the agreed state in a data folder.
+	// RoleControl boxes store the replicated state in a data folder.
 	RoleControl = "control"
-	// RoleEntry boxes take callers' requests.
+	// RoleEntry boxes accept callers' requests.
 	RoleEntry = "entry"
 )
 
-// Schema is the table of all settings of a box.
+// Schema lists all settings of a box.
 var Schema = []conf.Section{
-	{Kind: "box", Required: true, Description: "Who this box is.", Keys: []conf.Key{
-		{Name: "name", Type: conf.Name, Required: true, Description: "The box's name, unlike that of all others."},
-		{Name: "hall", Type: conf.Name, Required: true, Description: "The data hall that it stands in."},
-		{Name: "regions", Type: conf.Texts, Default: "", Description: "HALL=REGION of each data hall, where the fleet file does not tell."},
-		{Name: "roles", Type: conf.Choices, Choices: []string{RoleControl, RoleEntry}, Default: "entry", Description: "What it does. `control` needs a data folder."},
+	{Kind: "box", Required: true, Description: "Identity of this box.", Keys: []conf.Key{
+		{Name: "name", Type: conf.Name, Required: true, Description: "The box's name, unique in the cluster."},
+		{Name: "hall", Type: conf.Name, Required: true, Description: "The data hall where it is located."},
+		{Name: "regions", Type: conf.Texts, Default: "", Description: "HALL=REGION of each data hall, for halls whose region the fleet file does not state."},
+		{Name: "roles", Type: conf.Choices, Choices: []string{RoleControl, RoleEntry}, Default: "entry", Description: "Its roles. `control` needs a data folder."},
 	}},
-	{Kind: "cluster", Required: true, Description: "Whom it belongs to.", Keys: []conf.Key{
-		{Name: "name", Type: conf.Name, Required: true, Description: "The cluster's name; boxes of another one are refused."},
+	{Kind: "cluster", Required: true, Description: "The cluster to which the box belongs.", Keys: []conf.Key{
+		{Name: "name", Type: conf.Name, Required: true, Description: "The cluster's name; boxes of other clusters are rejected."},
 		{Name: "first-members", Type: conf.Names, Default: "", Description: "The control boxes that form the cluster together once, when all of them are new. Not with `seeds`."},
 		{Name: "boxes", Type: conf.Addresses, Default: "", Description: "Box-to-box addresses known at the start: the control boxes at least. Not with `seeds`."},
-		{Name: "seeds", Type: conf.Texts, Default: "", Description: "Instead of `boxes`: any addresses (IP number:port) of boxes, each of which has its IP number for a name and this box's box-to-box port."},
+		{Name: "seeds", Type: conf.Texts, Default: "", Description: "Instead of `boxes`: any addresses (IP number:port) of boxes. The name of each is its IP number, and its box-to-box port is that of this box."},
 		{Name: "form", Type: conf.Bool, Default: "false", Description: "With `seeds`: whether these are the first members, all new, that form the cluster together."},
-		{Name: "voters", Type: conf.Int, Default: "0", Description: "How many boxes agree; 0: as many as there are first members."},
-		{Name: "tolerate", Type: conf.Int, Default: "0", Description: "How many voters may be lost at once; above 0 there are twice as many voters and one."},
-		{Name: "voters-need-disks", Type: conf.Bool, Default: "false", Description: "Whether boxes without a disk never stand in for a lost voter."},
+		{Name: "voters", Type: conf.Int, Default: "0", Description: "Number of voters; 0: the number of first members."},
+		{Name: "tolerate", Type: conf.Int, Default: "0", Description: "How many voters may fail at once; if above 0, there are twice as many voters plus one."},
+		{Name: "voters-need-disks", Type: conf.Bool, Default: "false", Description: "Whether boxes without a disk never replace a lost voter temporarily."},
 	}},
 	{Kind: "peer", Required: true, Description: "Box-to-box traffic.", Keys: []conf.Key{
-		{Name: "listen", Type: conf.Address, Required: true, Description: "Where this box listens for other boxes; it also calls them from this IP number."},
-		{Name: "advertise", Type: conf.Address, Default: "", Description: "The address that other boxes are told; none: `listen`."},
-		{Name: "plain-text", Type: conf.Choice, Choices: []string{"loopback", "anywhere"}, Default: "loopback", Description: "Where box-to-box and operators' traffic may go without TLS."},
+		{Name: "listen", Type: conf.Address, Required: true, Description: "Address on which this box listens for other boxes; it also calls them from this IP number."},
+		{Name: "advertise", Type: conf.Address, Default: "", Description: "The address announced to other boxes; none: `listen`."},
+		{Name: "plain-text", Type: conf.Choice, Choices: []string{"loopback", "anywhere"}, Default: "loopback", Description: "Where box-to-box and operators' traffic is allowed without TLS."},
 	}},
 	{Kind: "entry", Description: "Callers' traffic.", Keys: []conf.Key{
-		{Name: "listen", Type: conf.Address, Default: "", Description: "Where callers reach this box; needed by the role entry."},
-		{Name: "dialect", Type: conf.Choice, Choices: []string{DialectOwn, DialectPlatform}, Default: DialectOwn, Description: "How headers of requests by host and path are named."},
-		{Name: "parting", Type: conf.Duration, Default: "0s", Description: "How long a backend server that leaves still gets requests that no other can take. Less than it keeps serving."},
-		{Name: "ready-listen", Type: conf.Address, Default: "", Description: "Where the platform asks whether this box takes requests; none: nowhere."},
-		{Name: "max-body", Type: conf.Bytes, Default: "8MiB", Description: "Largest body of a request."},
-		{Name: "header-timeout", Type: conf.Duration, Default: "5s", Description: "How long a caller may take to send the headers."},
-		{Name: "body-timeout", Type: conf.Duration, Default: "30s", Description: "How long a caller may take to send a whole request."},
-		{Name: "balancer-lag", Type: conf.Duration, Default: "3s", Description: "How long requests are still taken after the readiness check failed at a planned stop."},
+		{Name: "listen", Type: conf.Address, Default: "", Description: "Address on which callers reach this box; required by the role entry."},
+		{Name: "dialect", Type: conf.Choice, Choices: []string{DialectOwn, DialectPlatform}, Default: DialectOwn, Description: "Header names of requests that are routed by host and path."},
+		{Name: "parting", Type: conf.Duration, Default: "0s", Description: "How long a draining backend server still gets requests that no other server can take. Must be shorter than the time it keeps serving."},
+		{Name: "ready-listen", Type: conf.Address, Default: "", Description: "Address for the platform's readiness check; none: disabled."},
+		{Name: "max-body", Type: conf.Bytes, Default: "8MiB", Description: "Maximum size of a request body."},
+		{Name: "header-timeout", Type: conf.Duration, Default: "5s", Description: "Time limit for a caller to send the headers."},
+		{Name: "body-timeout", Type: conf.Duration, Default: "30s", Description: "Time limit for a caller to send a complete request."},
+		{Name: "balancer-lag", Type: conf.Duration, Default: "3s", Description: "How long requests are still accepted at a planned stop after the readiness check began to fail."},
 		{Name: "stop-timeout", Type: conf.Duration, Default: "10m", Description: "How long a planned stop waits for requests in flight."},
 	}},
 	{Kind: "operator", Required: true, Description: "Operators' traffic, metrics and health.", Keys: []conf.Key{
-		{Name: "listen", Type: conf.Address, Required: true, Description: "Where operators reach this box."},
-		{Name: "platform-listen", Type: conf.Address, Default: "", Description: "Where the platform's operators and the backend servers that announce themselves reach this box; none: nowhere."},
-		{Name: "accept-wait", Type: conf.Duration, Default: "4s", Description: "How long an apply waits for all boxes that were heard lately to have the file in force, before a majority of them is enough."},
-		{Name: "accept-most", Type: conf.Duration, Default: "8s", Description: "How long after a file was agreed an apply of it waits for a majority of the boxes, over all its sendings."},
+		{Name: "listen", Type: conf.Address, Required: true, Description: "Address on which operators reach this box."},
+		{Name: "platform-listen", Type: conf.Address, Default: "", Description: "Address on which the platform's operators and backend servers that announce themselves reach this box; none: disabled."},
+		{Name: "accept-wait", Type: conf.Duration, Default: "4s", Description: "How long an apply waits until the file is active on all recently seen boxes, before a majority of them is enough."},
+		{Name: "accept-most", Type: conf.Duration, Default: "8s", Description: "How long after a file was committed an apply of it waits for a majority of the boxes, over all its attempts."},
 	}},
 	{Kind: "orders", Description: "Orders to model servers.", Keys: []conf.Key{
-		{Name: "pause", Type: conf.Duration, Default: "0s", Description: "How long a new leader gives no orders, so that the one before it surely gives none."},
-		{Name: "demand-settles", Type: conf.Duration, Default: "10s", Description: "How long a new leader waits for demand to be reported before it moves anything for its sake."},
+		{Name: "pause", Type: conf.Duration, Default: "0s", Description: "How long a new leader sends no orders, so that the previous leader is certain to send none."},
+		{Name: "demand-settles", Type: conf.Duration, Default: "10s", Description: "How long a new leader waits for demand reports before it moves anything to meet demand."},
 	}},
-	{Kind: "budget", Description: "Repeats of requests by host and path, over all boxes together.", Keys: []conf.Key{
-		{Name: "ratio", Type: conf.Float, Default: "0.1", Description: "Repeats that each request to a service earns."},
-		{Name: "slack", Type: conf.Float, Default: "20", Description: "Repeats to a service that are allowed besides, in each window."},
-		{Name: "window", Type: conf.Duration, Default: "10s", Description: "The span that is counted."},
+	{Kind: "budget", Description: "Retry budget for requests that are routed by host and path, over all boxes.", Keys: []conf.Key{
+		{Name: "ratio", Type: conf.Float, Default: "0.1", Description: "Retries that each request to a service adds to the budget."},
+		{Name: "slack", Type: conf.Float, Default: "20", Description: "Additional retries to a service allowed in each window."},
+		{Name: "window", Type: conf.Duration, Default: "10s", Description: "The time window of the budget."},
 	}},
-	{Kind: "upgrade", Description: "Builds that replace one another.", Keys: []conf.Key{
-		{Name: "settles", Type: conf.Duration, Default: "10m", Description: "How long all boxes run a build before the cluster uses what only that one knows. Until then the build before can be brought back."},
+	{Kind: "upgrade", Description: "Rolling upgrades.", Keys: []conf.Key{
+		{Name: "settles", Type: conf.Duration, Default: "10m", Description: "How long all boxes run a build before the cluster uses features that only this build supports. Until then it can be rolled back to the previous build."},
 	}},
-	{Kind: "quotas", Description: "Quotas of workspaces, over all boxes together.", Keys: []conf.Key{
-		{Name: "window", Type: conf.Duration, Default: "8s", Description: "The span over which they are judged: a request that no such span bears is told so at once."},
+	{Kind: "quotas", Description: "Quotas of workspaces, over all boxes.", Keys: []conf.Key{
+		{Name: "window", Type: conf.Duration, Default: "8s", Description: "The time window over which quotas are enforced: a request that does not fit into any such window is refused at once."},
 	}},
-	{Kind: "limits", Description: "What the process may use.", Keys: []conf.Key{
-		{Name: "memory", Type: conf.Bytes, Default: "0B", Description: "Memory of the process; 0: no limit. The garbage collector keeps below four fifths of it."},
+	{Kind: "limits", Description: "Resource limits of the process.", Keys: []conf.Key{
+		{Name: "memory", Type: conf.Bytes, Default: "0B", Description: "Maximum memory of the process; 0: no limit. The garbage collector aims to stay below four fifths of it."},
 	}},
 	{Kind: "data", Description: "The data folder.", Keys: []conf.Key{
-		{Name: "folder", Type: conf.Text, Default: "", Description: "Folder for the agreed state; needed by the role control."},
-		{Name: "limit", Type: conf.Bytes, Default: "1GiB", Description: "Most bytes that the folder may take; beyond, applies are refused."},
+		{Name: "folder", Type: conf.Text, Default: "", Description: "Folder for the replicated state; required by the role control."},
+		{Name: "limit", Type: conf.Bytes, Default: "1GiB", Description: "Maximum size of the folder; above it, applies are rejected."},
 		{Name: "compact-after", Type: conf.Int, Default: "1024", Min: 8, Description: "Log entries after which a snapshot is taken."},
 	}},
-	{Kind: "tls", Description: "Certificates for box-to-box and operators' traffic. Read again when the files change.", Keys: []conf.Key{
+	{Kind: "tls", Description: "Certificates for box-to-box and operators' traffic. They are reloaded when the files change.", Keys: []conf.Key{
 		{Name: "certificate", Type: conf.Text, Default: "", Description: "File with this box's certificate; its name must be the box's."},
 		{Name: "key", Type: conf.Text, Default: "", Description: "File with the certificate's key."},
-		{Name: "authority", Type: conf.Text, Default: "", Description: "File with the certificates that peers and operators are checked against."},
+		{Name: "authority", Type: conf.Text, Default: "", Description: "File with the certificates used to verify peers and operators."},
 	}},
-	{Kind: "platform", Description: "The platform's list of live and leaving machines.", Keys: []conf.Key{
-		{Name: "address", Type: conf.Address, Default: "", Description: "Where the list is read; none: no list."},
-		{Name: "every", Type: conf.Duration, Default: "1s", Description: "Time between two reads."},
+	{Kind: "platform", Description: "The platform's list of live and draining machines.", Keys: []conf.Key{
+		{Name: "address", Type: conf.Address, Default: "", Description: "Address from which the list is read; none: no list."},
+		{Name: "every", Type: conf.Duration, Default: "1s", Description: "Interval between reads."},
 	}},
-	{Kind: "timing", Description: "Timings of agreement; the same on all boxes.", Keys: []conf.Key{
-		{Name: "election", Type: conf.Duration, Default: "600ms", Description: "Least time without a leader before another is elected."},
-		{Name: "heartbeat", Type: conf.Duration, Default: "100ms", Description: "Time between two heartbeats of a leader."},
-		{Name: "lease", Type: conf.Duration, Default: "450ms", Description: "How long a heartbeat that a quorum answered lets its sender lead. Below `election`."},
-		{Name: "config-lease", Type: conf.Duration, Default: "3s", Description: "How old the news from a leader may be before a box must ask other boxes whether it is current."},
-		{Name: "repair-after", Type: conf.Duration, Default: "5s", Description: "Silence after which a voter is replaced."},
+	{Kind: "timing", Description: "Consensus timings; must be the same on all boxes.", Keys: []conf.Key{
+		{Name: "election", Type: conf.Duration, Default: "600ms", Description: "Minimum time without a leader before a new one is elected."},
+		{Name: "heartbeat", Type: conf.Duration, Default: "100ms", Description: "Interval between a leader's heartbeats."},
+		{Name: "lease", Type: conf.Duration, Default: "450ms", Description: "How long a heartbeat acknowledged by a quorum keeps its sender the leader. Must be below `election`."},
+		{Name: "config-lease", Type: conf.Duration, Default: "3s", Description: "Maximum age of the last update from a leader before a box must ask other boxes whether it is up to date."},
+		{Name: "repair-after", Type: conf.Duration, Default: "5s", Description: "Time after which an unresponsive voter is replaced."},
 	}},
 	{Kind: "log", Description: "Logs.", Keys: []conf.Key{
-		{Name: "level", Type: conf.Choice, Choices: []string{"debug", "info", "warn", "error"}, Default: "info", Description: "Least level that is written."},
+		{Name: "level", Type: conf.Choice, Choices: []string{"debug", "info", "warn", "error"}, Default: "info", Description: "Minimum level that is logged."},
 	}},
 }
 
-// Dialects of requests by host and path.
+// Dialects are sets of header names for requests that are routed by host and path.
 const (
 	DialectOwn      = "own"
 	DialectPlatform = "platform"
 )
 
-// Settings are the checked settings of a box.
+// Settings are the validated settings of a box.
 type Settings struct {
 	Box   string
 	Hall  string
 	Roles []string
-	// Regions are those of data halls, by hall.
+	// Regions maps data halls to their regions.
 	Regions map[string]string
 
 	Cluster      string
 	FirstMembers []string
-	// Boxes maps names to box-to-box addresses.
+	// Boxes maps box names to box-to-box addresses.
 	Boxes map[string]string
-	// Seeded tells that Boxes come from seeds; Form whether they are new.
+	// Seeded reports whether Boxes are derived from seeds, and FormCluster whether
+	// they are new and form the cluster.
 	Seeded          bool
 	FormCluster     bool
 	Voters          int
@@ -175,20 +176,20 @@
 	LogLevel string
 }
 
-// TLS names certificate files; all empty means plain text.
+// TLS holds the paths of the certificate files; if all are empty, traffic is in plain text.
 type TLS struct{ Certificate, Key, Authority string }
 
 // Enabled reports whether TLS is set up.
 func (t TLS) Enabled() bool { return t.Certificate != "" }
 
-// IsControl reports whether the box keeps the agreed state.
+// IsControl reports whether the box has the control role and stores the replicated state.
 func (s *Settings) IsControl() bool { return slices.Contains(s.Roles, RoleControl) }
 
-// IsEntry reports whether the box takes callers' requests.
+// IsEntry reports whether the box has the entry role and accepts callers' requests.
 func (s *Settings) IsEntry() bool { return slices.Contains(s.Roles, RoleEntry) }
 
-// Load reads and checks a file. The error is conf.Faults when the file is at
-// fault.
+// Load reads and validates a file. The error is conf.Faults if the file cannot be
+// read or is invalid.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -197,7 +198,7 @@
 	return Parse(path, data)
 }
 
-// Parse checks the settings in data; path is for the faults only.
+// Parse validates the settings in data. The path is used only in faults.
 func Parse(path string, data []byte) (*Settings, error) {
 	d := conf.Read(path, data, Schema)
 	s := decode(d)
@@ -235,8 +236,8 @@
 	return s
 }
 
-// voterCount returns how many voters it takes to bear the loss of so many; 0: as many
-// as there are first members.
+// voterCount returns the number of voters needed to tolerate the given number of
+// failures, or the configured number; 0: the number of first members.
 func voterCount(voters, tolerate int) int {
 	if tolerate > 0 {
 		return 2*tolerate + 1
@@ -244,17 +245,17 @@
 	return voters
 }
 
-// applySeeds names the boxes behind seeds by their IP numbers.
+// applySeeds derives the boxes from the seeds and names them by their IP numbers.
 func (s *Settings) applySeeds(d *conf.Document, seeds []string) {
 	if len(seeds) == 0 {
 		return
 	}
 	s.Seeded, s.Boxes = true, map[string]string{}
-	own, _ := netip.ParseAddrPort(s.PeerListen) // its own faults are noted already
+	own, _ := netip.ParseAddrPort(s.PeerListen) // its faults have been added already
 	for _, seed := range seeds {
 		a, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			d.Section("cluster").AddFault("seeds", seed+" is no address", "IP number:port")
+			d.Section("cluster").AddFault("seeds", seed+" is not an address", "IP number:port")
 			continue
 		}
 		name := a.Addr().String()
@@ -266,7 +267,7 @@
 }
 
 // AddressOf returns the box-to-box address of a box that is named by its IP number,
-// as all boxes are where seeds are set; "" for other names.
+// as all boxes are if seeds are set, or "" for other names.
 func (s *Settings) AddressOf(box string) string {
 	ip, err := netip.ParseAddr(box)
 	own, ownErr := netip.ParseAddrPort(s.PeerListen)
@@ -285,24 +286,24 @@
 	return m
 }
 
-// crossCheck finds the faults that concern several keys.
+// crossCheck adds the faults that involve several keys.
 func crossCheck(d *conf.Document, s *Settings) {
 	if s.IsControl() && s.DataFolder == "" {
-		d.Section("data").AddFault("folder", "the role control needs a data folder", "a path")
+		d.Section("data").AddFault("folder", "the role control requires a data folder", "a path")
 	}
 	if s.IsEntry() && s.EntryListen == "" {
-		d.Section("entry").AddFault("listen", "the role entry needs an address for callers", "IP number:port")
+		d.Section("entry").AddFault("listen", "the role entry requires an address for callers", "IP number:port")
 	}
 	for hall, region := range s.Regions {
 		if !conf.ValidName(hall) || region == "" {
-			d.Section("box").AddFault("regions", "holds something other than HALL=REGION", "HALL=REGION, separated by commas")
+			d.Section("box").AddFault("regions", "has an item that is not of the form HALL=REGION", "HALL=REGION, separated by commas")
 		}
 	}
 	if s.Lease >= s.Election {
 		d.Section("timing").AddFault("lease", "is not below election", "less than "+s.Election.String())
 	}
 	if s.Heartbeat*3 > s.Lease {
-		d.Section("timing").AddFault("heartbeat", "leaves no room for a lost heartbeat in the lease", "at most a third of lease")
+		d.Section("timing").AddFault("heartbeat", "does not tolerate a lost heartbeat within the lease", "at most a third of lease")
 	}
 	if s.ConfigLease <= s.Election*2 {
 		d.Section("timing").AddFault("config-lease", "ends before a new leader can be elected", "more than "+(s.Election*2).String())
@@ -311,21 +312,21 @@
 		d.Section("cluster").AddFault("boxes", "neither first-members and boxes nor seeds are set", "one or the other")
 	}
 	if s.Seeded && len(d.Section("cluster").List("boxes")) > 0 {
-		d.Section("cluster").AddFault("seeds", "stands beside boxes", "one or the other")
+		d.Section("cluster").AddFault("seeds", "is set together with boxes", "one or the other")
 	}
 	for _, name := range s.FirstMembers {
 		if s.Boxes[name] == "" {
-			d.Section("cluster").AddFault("boxes", "lacks the first member "+name, "an address for each first member")
+			d.Section("cluster").AddFault("boxes", "has no address of the first member "+name, "an address for each first member")
 		}
 	}
 	set := []bool{s.TLS.Certificate != "", s.TLS.Key != "", s.TLS.Authority != ""}
 	if slices.Contains(set, true) && slices.Contains(set, false) {
-		d.Section("tls").AddFault("certificate", "only some of the TLS files are named", "certificate, key and authority, or none")
+		d.Section("tls").AddFault("certificate", "only some of the TLS files are set", "certificate, key and authority, or none")
 	}
 	s.checkPlaintext(d)
 }
 
-// checkPlaintext refuses plain text beyond loopback unless it was asked for.
+// checkPlaintext rejects plain text on addresses other than loopback, unless the settings allow it.
 func (s *Settings) checkPlaintext(d *conf.Document) {
 	if s.TLS.Enabled() || s.AllowPlaintext {
 		return
@@ -333,7 +334,7 @@
 	for section, address := range map[string]string{"peer": s.PeerListen, "operator": s.OperatorListen} {
 		a, err := netip.ParseAddrPort(address)
 		if err == nil && !a.Addr().IsLoopback() {
-			d.Section(section).AddFault("listen", address+" is open to others in plain text", "loopback, or TLS, or [peer] plain-text = anywhere")
+			d.Section(section).AddFault("listen", address+" accepts plain text from other machines", "loopback, or TLS, or [peer] plain-text = anywhere")
 		}
 	}
 }
