--- a/fleet/capacity.go
+++ b/fleet/capacity.go
@@ -66,12 +66,12 @@
 
 func bestFit(accelerators []*accelerator, m *Model) *accelerator {
 	var best *accelerator
-	for _, s := range accelerators {
-		if !m.MayRunOn(s.server) || s.free < m.Footprint() {
+	for _, a := range accelerators {
+		if !m.MayRunOn(a.server) || a.free < m.Footprint() {
 			continue
 		}
-		if best == nil || s.free < best.free {
-			best = s
+		if best == nil || a.free < best.free {
+			best = a
 		}
 	}
 	return best
@@ -79,9 +79,9 @@
 
 func shortage(accelerators []*accelerator, m *Model) string {
 	largest := uint64(0)
-	for _, s := range accelerators {
-		if m.MayRunOn(s.server) {
-			largest = max(largest, s.free)
+	for _, a := range accelerators {
+		if m.MayRunOn(a.server) {
+			largest = max(largest, a.free)
 		}
 	}
 	return fmt.Sprintf("model %s cannot be resident: it needs %s with its adapters, the largest free memory where it may run is %s, %s short",
