--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -143,7 +143,7 @@
 mutant rare-models-first placement/needs.go 's/\t\tp.moveAbove\(p.in.Demand\[r.need.model.Name\].Requests\)\n//' placement 'TestPlacement'
 mutant last-copy-stays ledger/ledger.go 's/ && !inv.IsCached\(o.Server, o.Item.GetModel\(\)\)//' state 'TestLastCopy'
 mutant last-copy-goes ledger/ledger.go 's/slices.Contains\(b.Servers\[server\].GetAtHand\(\), model\)/true || slices.Contains([]string{}, model)/' state 'TestLastCopy'
-mutant move-too-late placement/demand.go 's/max\(0, p.fleet.DemandHorizon.Seconds\(\)-coming\)/p.fleet.DemandHorizon.Seconds()/' placement 'TestPlacement'
+mutant move-too-late placement/demand.go 's/max\(0, p.fleet.DemandLasts.Seconds\(\)-coming\)/p.fleet.DemandLasts.Seconds()/' placement 'TestPlacement'
 mutant nothing-fetched gateway/choose.go 's/w.fetchRate > 0 && missing >= minFetch/false && missing > 0/' gateway 'TestCachedPrefixes'
 mutant slow-not-avoided gateway/choose.go 's/ \+ s.stallCost\(now, c.work\)//' gateway 'TestServersThatStall'
 mutant last-order-forgotten state/announce.go 's/, Ordered: s.Servers\[a.Id\].GetOrdered\(\)//' state 'TestLastOrderIndex'
