--- a/standin/chat.go
+++ b/standin/chat.go
@@ -94,7 +94,8 @@
 	return words
 }
 
-// readyVersion returns the version of the named model or adapter that is resident and ready. It counts a miss.
+// readyVersion returns the version of the named model or adapter that is resident and ready. If there is none, it counts the
+// request as not resident.
 func (e *Engine) readyVersion(name string) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
