--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' side of a box: apply, read back, explain,
-// health and metrics, over HTTP.
+// Package admin serves the operators' HTTP interface of a box: applying and
+// reading the fleet file, status, explanations, evacuations, health and metrics.
 package admin
 
 import (
@@ -30,20 +30,20 @@
 	FleetPath   = "/v1/fleet"
 	StatusPath  = "/v1/status"
 	ExplainPath = "/v1/explain/"
-	// EvacuationsPath, with a data hall behind it, takes PUT and DELETE.
+	// EvacuationsPath, followed by the name of a data hall, accepts PUT and DELETE.
 	EvacuationsPath = "/v1/evacuations/"
 )
 
-// HeaderOperator names who applies a file.
+// HeaderOperator is the request header that names the operator who applies a file.
 const HeaderOperator = "X-Operator"
 
-// Cluster passes operators' calls on to the leader.
+// Cluster forwards operators' calls to the leader.
 type Cluster interface {
-	// Forward returns the leader's answer. The reason is set when there is none.
+	// Forward returns the leader's answer, or the reason why there is none.
 	Forward(ctx context.Context, f *wire.Forward) (*wire.ForwardAnswer, *reason.Reason)
 }
 
-// Options make an Admin.
+// Options configure an Admin.
 type Options struct {
 	Box     string
 	Cluster Cluster
@@ -51,13 +51,14 @@
 	Ready   func() (bool, string)
 	Records *record.History
 	Meters  *meter.Meters
-	// QuotaStatus returns what this box knows of a workspace's quota; nil where it serves none.
+	// QuotaStatus returns this box's view of a workspace's quota. It is nil on a box that serves no workspace.
 	QuotaStatus func(rate.Key) (rate.LimitStatus, bool)
-	// Pushback is what servers said to this box of themselves; nil where it sends no requests.
+	// Pushback holds the backoff, draining and limits that backend servers reported to this box. It is nil on a
+	// box that sends no requests.
 	Pushback *pushback.Registry
 }
 
-// Admin serves operators.
+// Admin is the HTTP handler of the operators' interface.
 type Admin struct {
 	opts   Options
 	router chi.Router
@@ -68,7 +69,7 @@
 	a := &Admin{opts: opts}
 	r := chi.NewRouter()
 	r.Put(FleetPath, a.apply)
-	r.Get(FleetPath, a.show)
+	r.Get(FleetPath, a.showFleet)
 	r.Get(StatusPath, a.status)
 	r.Get(ExplainPath+"{name}", a.explain)
 	r.Put(EvacuationsPath+"{hall}", func(w http.ResponseWriter, r *http.Request) { a.evacuate(w, r, false) })
@@ -81,10 +82,10 @@
 	return a
 }
 
-// ServeHTTP routes a call.
+// ServeHTTP dispatches a call to its handler.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
-// Version describes an accepted file.
+// Version describes an accepted fleet file.
 type Version struct {
 	Number   uint64    `json:"number"`
 	Digest   string    `json:"digest"`
@@ -99,13 +100,13 @@
 	return &Version{v.Number, v.Digest, v.Operator, time.UnixMilli(v.UnixMs).UTC()}
 }
 
-// ApplyAnswer is the answer to an apply.
+// ApplyAnswer is the response to an apply call.
 type ApplyAnswer struct {
 	// Outcome is accepted, resent, superseded, conflict, older, invalid,
 	// refused or unknown.
 	Outcome string   `json:"outcome"`
 	Winner  *Version `json:"winner,omitempty"`
-	// AppliedBy counts the boxes that had the file when this answer was made.
+	// AppliedBy is the number of boxes that had applied the file when the response was written.
 	AppliedBy int `json:"in_force"`
 	Boxes     int `json:"boxes"`
 	// Reason and Text are set when the file was not accepted.
@@ -131,7 +132,7 @@
 	a.reply(w, why.Status, answer)
 }
 
-// applyTimeout bounds one apply.
+// applyTimeout bounds a call that is forwarded to the leader.
 const applyTimeout = 6 * time.Second
 
 func (a *Admin) apply(w http.ResponseWriter, r *http.Request) {
@@ -156,7 +157,7 @@
 		a.refuse(w, why, &ApplyAnswer{Outcome: outcomeOf(why)})
 		return
 	}
-	a.applied(w, answer.Apply)
+	a.writeApplyResult(w, answer.Apply)
 }
 
 func outcomeOf(why *reason.Reason) string {
@@ -166,7 +167,7 @@
 	return "refused"
 }
 
-func (a *Admin) applied(w http.ResponseWriter, result *wire.ApplyResult) {
+func (a *Admin) writeApplyResult(w http.ResponseWriter, result *wire.ApplyResult) {
 	answer := &ApplyAnswer{Outcome: result.Outcome, Winner: version(result.Winner), AppliedBy: int(result.InForce), Boxes: int(result.Boxes)}
 	switch state.ApplyOutcome(result.Outcome) {
 	case state.Conflict:
@@ -178,31 +179,32 @@
 	default:
 		status := http.StatusOK
 		if answer.AppliedBy <= answer.Boxes/2 {
-			// Agreed, but not yet in force on a majority of the boxes.
+			// Committed, but not yet applied by a majority of the boxes.
 			status = http.StatusAccepted
 		}
 		a.reply(w, status, answer)
 	}
 }
 
-// BlockedRow is a request that is kept from servers of a software version, since they ended while they ran it.
+// BlockedRow is a request that is blocked on servers of a software version, because servers terminated while they
+// processed it.
 type BlockedRow struct {
 	Fingerprint string    `json:"print"`
 	Version     string    `json:"version,omitempty"`
-	Servers     []string  `json:"servers"` // that ended last, the newest last
+	Servers     []string  `json:"servers"` // the servers that terminated most recently, newest last
 	BlockCount  uint32    `json:"holds"`
 	Since       time.Time `json:"since"`
 }
 
-// LimitRow is a backend server that takes no more than it names.
+// LimitRow is a backend server that limits its request rate.
 type LimitRow struct {
 	Server string `json:"server"`
-	// PerSecond is what it takes from all boxes together, in requests a second.
+	// PerSecond is the limit in requests per second, over all boxes.
 	PerSecond float64   `json:"per_second"`
 	Since     time.Time `json:"since"`
 }
 
-// BoxRow is one box in the status.
+// BoxRow is the status of one box.
 type BoxRow struct {
 	Box     string `json:"box"`
 	Member  string `json:"member"`
@@ -211,17 +213,17 @@
 	Voter   bool   `json:"voter"`
 	Leader  bool   `json:"leader"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// State is in-force, behind or silent.
+	// State is in-force if the box has applied the fleet file, behind if it has not, or silent if it is unresponsive.
 	State string `json:"state"`
-	// Build is what it runs, Level the newest level that this knows.
+	// Build is the software that the box runs, Level the newest level that this build supports.
 	Build string      `json:"build,omitempty"`
 	Level level.Level `json:"level"`
 	Index uint64      `json:"index"`
-	// AgeMs is how long ago the box was heard, in milliseconds.
+	// AgeMs is the age of the box's last report, in milliseconds.
 	AgeMs uint32 `json:"age_ms"`
 }
 
-// ModelRow is one model or adapter in the status.
+// ModelRow is the status of one model or adapter.
 type ModelRow struct {
 	Name    string   `json:"name"`
 	Version string   `json:"version"`
@@ -229,7 +231,7 @@
 	Loading []string `json:"coming,omitempty"`
 }
 
-// Status is what is in force, read from the leader.
+// Status is the active fleet file and the state of the cluster, as read from the leader.
 type Status struct {
 	Fleet  *Version   `json:"fleet"`
 	Index  uint64     `json:"index"`
@@ -239,22 +241,23 @@
 	Boxes  []BoxRow   `json:"boxes"`
 	Models []ModelRow `json:"models"`
 	Orders int        `json:"open_orders"`
-	// Level is in force; Waits says what a higher one waits for.
+	// Level is the active level. LevelBlocker describes what delays the next one.
 	Level        level.Level `json:"level"`
 	LevelBlocker string      `json:"level_waits,omitempty"`
 	Moves        uint64      `json:"moves"`
-	// Blocked are the requests that are kept from servers.
+	// Blocked lists the requests that are blocked on servers because servers terminated while they processed them.
 	Blocked []BlockedRow `json:"held,omitempty"`
-	// Limits are the backend servers that name one.
+	// Limits lists the backend servers that limit their request rate.
 	Limits []LimitRow `json:"limits,omitempty"`
-	// Evacuations are the data halls whose servers get nothing.
+	// Evacuations lists the data halls whose backend servers receive no requests, orders or copies.
 	Evacuations []EvacuationRow `json:"evacuations,omitempty"`
-	// AnsweredBy is the box that was asked, and Said what backend servers said to it of their rest or end.
+	// AnsweredBy is the box that answered the call. ServerStatuses holds the backoff or draining that backend
+	// servers reported to this box.
 	AnsweredBy     string                  `json:"asked,omitempty"`
 	ServerStatuses []pushback.ServerStatus `json:"said,omitempty"`
 }
 
-func (a *Admin) read(ctx context.Context) (*wire.ReadResult, *reason.Reason) {
+func (a *Admin) readState(ctx context.Context) (*wire.ReadResult, *reason.Reason) {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	answer, why := a.opts.Cluster.Forward(ctx, &wire.Forward{Kind: wire.ForwardKind_FORWARD_READ, DeadlineMs: uint32(applyTimeout.Milliseconds())})
@@ -264,9 +267,9 @@
 	return answer.Read, nil
 }
 
-// show answers the text of the file in force, with digests in place of keys.
-func (a *Admin) show(w http.ResponseWriter, r *http.Request) {
-	result, why := a.read(r.Context())
+// showFleet responds with the text of the active fleet file, with keys replaced by their digests.
+func (a *Admin) showFleet(w http.ResponseWriter, r *http.Request) {
+	result, why := a.readState(r.Context())
 	if why != nil {
 		a.refuse(w, why, nil)
 		return
@@ -280,17 +283,17 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	shown, err := fleet.Redact(result.State.FleetFormat, []byte(text))
+	redacted, err := fleet.Redact(result.State.FleetFormat, []byte(text))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = w.Write(shown)
+	_, _ = w.Write(redacted)
 }
 
 func (a *Admin) status(w http.ResponseWriter, r *http.Request) {
-	result, why := a.read(r.Context())
+	result, why := a.readState(r.Context())
 	if why != nil {
 		a.refuse(w, why, nil)
 		return
@@ -305,19 +308,19 @@
 }
 
 func summarize(result *wire.ReadResult) (*Status, error) {
-	st, err := state.Decode(proto.CloneOf(result.State)) // this box's own state, where it leads
+	st, err := state.Decode(proto.CloneOf(result.State)) // on the leader, the result shares this box's own state
 	if err != nil {
 		return nil, err
 	}
 	s := &Status{
 		Fleet: version(st.Version), Index: result.Index, Term: result.Term, Leader: result.Leader, Voters: result.Voters,
-		Orders: st.Orders.Len(), Moves: st.Moves, Boxes: boxRows(st, result), Models: modelRows(st), Blocked: heldRows(st), Limits: limitRows(st), Evacuations: evacuationRows(st),
-		Level: st.Level, LevelBlocker: levelWaits(st),
+		Orders: st.Orders.Len(), Moves: st.Moves, Boxes: boxRows(st, result), Models: modelRows(st), Blocked: blockedRows(st), Limits: limitRows(st), Evacuations: evacuationRows(st),
+		Level: st.Level, LevelBlocker: levelBlocker(st),
 	}
 	return s, nil
 }
 
-// Explanation is the answer to explain.
+// Explanation is the response to an explain call.
 type Explanation struct {
 	Box          string            `json:"box"`
 	Subject      string            `json:"about"`
--- a/admin/evacuations.go
+++ b/admin/evacuations.go
@@ -13,7 +13,7 @@
 	"leverdrum/wire"
 )
 
-// EvacuationRow is a data hall whose backend servers get nothing.
+// EvacuationRow is an evacuated data hall: nothing is sent to its backend servers.
 type EvacuationRow struct {
 	Hall  string    `json:"hall"`
 	Since time.Time `json:"since"`
@@ -26,11 +26,11 @@
 	return rows
 }
 
-// EvacuationAnswer is the answer to an evacuation, or to its end.
+// EvacuationAnswer is the response to the start or the end of an evacuation.
 type EvacuationAnswer struct {
 	Hall      string `json:"hall"`
 	Evacuated bool   `json:"evacuated"`
-	// Reason and Text are set when nothing was changed, or when that is not known.
+	// Reason and Text are set if nothing changed or the outcome is unknown.
 	Reason string `json:"reason,omitempty"`
 	Text   string `json:"text,omitempty"`
 }
--- a/admin/rows.go
+++ b/admin/rows.go
@@ -15,8 +15,8 @@
 	"leverdrum/wire"
 )
 
-// silentAfter is the age of a report at which a box is shown as silent.
-const silentAfter = 5 * time.Second
+// unresponsiveAfter is the age of a box's last report from which its state is shown as "silent".
+const unresponsiveAfter = 5 * time.Second
 
 func phaseName(p wire.Phase) string {
 	switch p {
@@ -43,7 +43,7 @@
 			Box: name, Member: id, Hall: m.Hall, Disk: m.Disk, Leaving: m.Leaving, Build: m.Build, Level: level.Level(m.Level),
 			Voter: slices.Contains(result.Voters, id), Leader: id == result.Leader, State: "silent",
 		}
-		if h := holdings[id]; h != nil && h.AgeMs < uint32(silentAfter.Milliseconds()) {
+		if h := holdings[id]; h != nil && h.AgeMs < uint32(unresponsiveAfter.Milliseconds()) {
 			row.Index, row.AgeMs, row.State = h.Index, h.AgeMs, "behind"
 			if h.Index >= st.Version.GetIndex() {
 				row.State = "in-force"
@@ -67,7 +67,7 @@
 	}
 	for _, r := range st.Encode().Residents {
 		row := rows[cmp.Or(r.Item.Adapter, r.Item.Model)]
-		if row == nil || !serving(st.Fleet, r) {
+		if row == nil || !onServingServer(st.Fleet, r) {
 			continue
 		}
 		if r.Phase == wire.Phase_PHASE_READY {
@@ -83,18 +83,18 @@
 	return list
 }
 
-// serving reports whether a resident item is of a server that takes work.
-func serving(f *fleet.Fleet, r *wire.Resident) bool {
+// onServingServer reports whether a resident item is on a server that is in the fleet and not draining.
+func onServingServer(f *fleet.Fleet, r *wire.Resident) bool {
 	s := f.Servers[r.Server]
 	return s != nil && !s.Draining
 }
 
-func heldRows(st *state.State) (rows []BlockedRow) {
+func blockedRows(st *state.State) (rows []BlockedRow) {
 	for _, s := range st.Crashers.Encode() {
 		if !s.Held {
 			continue
 		}
-		p, _ := crasher.ParseFingerprint(s.Print) // the agreed table takes no others
+		p, _ := crasher.ParseFingerprint(s.Print) // the replicated registry only admits valid fingerprints
 		rows = append(rows, BlockedRow{Fingerprint: p.String(), Version: s.Version, Servers: s.Servers, BlockCount: s.Holds, Since: time.UnixMilli(s.UnixMs).UTC()})
 	}
 	return rows
@@ -107,8 +107,8 @@
 	return rows
 }
 
-// levelWaits says what the next level waits for, "" where the newest is in force.
-func levelWaits(st *state.State) string {
+// levelBlocker returns what delays the next level, or "" if the newest is active.
+func levelBlocker(st *state.State) string {
 	if st.Level >= level.Newest {
 		return ""
 	}
@@ -119,7 +119,7 @@
 		}
 	}
 	if len(behind) == 0 {
-		return "the time that [upgrade] settles gives for going back"
+		return "the end of the rollback period ([upgrade] settles)"
 	}
-	return "builds that know it on " + strings.Join(behind, " ")
+	return "builds that support it on " + strings.Join(behind, " ")
 }
--- a/admin/workspaces.go
+++ b/admin/workspaces.go
@@ -8,8 +8,8 @@
 	"leverdrum/workspace"
 )
 
-// explainWorkspace says whose keys open a workspace, what it may use, and what this box has of that; nil where there
-// is no workspace of the name.
+// explainWorkspace describes the keys of a workspace, its limit, and this box's share of the quota. It returns nil if
+// there is no workspace of the name.
 func (a *Admin) explainWorkspace(name string) []string {
 	f := a.opts.View().Fleet
 	if f == nil {
@@ -19,32 +19,32 @@
 	if w == nil {
 		return nil
 	}
-	shown := make([]string, len(w.Keys))
+	digests := make([]string, len(w.Keys))
 	for i, k := range w.Keys {
-		shown[i] = k.String()
+		digests[i] = k.String()
 	}
-	lines := []string{fmt.Sprintf("workspace of urgency %d, opened by the keys with digests %s", w.Urgency, strings.Join(shown, " "))}
+	lines := []string{fmt.Sprintf("workspace with urgency %d, accessed by keys with digests %s", w.Urgency, strings.Join(digests, " "))}
 	if !w.Quota.Limit().Bounded() {
 		return append(lines, "no limit")
 	}
-	lines = append(lines, fmt.Sprintf("limit: %.0f %s a second and a burst of %.0f, over all boxes", w.Quota.Rate, w.Quota.Unit, w.Quota.Burst))
+	lines = append(lines, fmt.Sprintf("limit: %.0f %s per second with a burst of %.0f, over all boxes", w.Quota.Rate, w.Quota.Unit, w.Quota.Burst))
 	if a.opts.QuotaStatus == nil {
 		return lines
 	}
-	return append(lines, standingLine(w, a.opts.QuotaStatus))
+	return append(lines, quotaStatusLine(w, a.opts.QuotaStatus))
 }
 
-func standingLine(w *workspace.Workspace, of func(rate.Key) (rate.LimitStatus, bool)) string {
-	s, served := of(rate.Key{Name: w.Name})
+func quotaStatusLine(w *workspace.Workspace, lookup func(rate.Key) (rate.LimitStatus, bool)) string {
+	s, served := lookup(rate.Key{Name: w.Name})
 	if !served {
-		return "not served by this box lately"
+		return "not recently served by this box"
 	}
-	line := fmt.Sprintf("this box: asked for %.0f %s a second, may spend %.0f now", s.Demand, w.Quota.Unit, s.Balance)
+	line := fmt.Sprintf("this box: demand %.0f %s per second, balance %.0f", s.Demand, w.Quota.Unit, s.Balance)
 	switch {
 	case s.Isolated:
-		line += "; no box answers it, so it has its own part only"
+		line += "; no box answers it, so it only has its own share"
 	case s.Exhausted:
-		line += "; the quota is used"
+		line += "; the quota is exhausted"
 	}
 	return line
 }
