--- a/command/client.go
+++ b/command/client.go
@@ -20,12 +20,12 @@
 // callTimeout bounds one call to a box.
 const callTimeout = 10 * time.Second
 
-// client calls the operators' interface of the first box that answers.
+// client calls the operators' interface of boxes, in order, until one answers.
 type client struct {
 	addresses, certificate, key, authority string
 }
 
-// reply is a box's answer.
+// reply is a box's response.
 type reply struct {
 	status int
 	body   []byte
@@ -33,34 +33,34 @@
 
 var errUnreachable = errors.New("no box answered")
 
-// errUnknown: the call was sent and no answer came.
-var errUnknown = errors.New("a box took the call and did not answer; it may have been carried out")
+// errUnknownOutcome reports that a call was sent but not answered.
+var errUnknownOutcome = errors.New("a box received the call but did not answer; the call may have been executed")
 
 func (c *client) call(ctx context.Context, method, path string, body []byte, operator string) (*reply, error) {
 	if c.addresses == "" {
-		return nil, fmt.Errorf("%w: name one by -box or LEVERDRUM_BOX", errUnreachable)
+		return nil, fmt.Errorf("%w: set -box or LEVERDRUM_BOX", errUnreachable)
 	}
 	hc, scheme, err := c.http()
 	if err != nil {
 		return nil, err
 	}
-	var last error
+	var lastErr error
 	sent := false
 	for address := range strings.SplitSeq(c.addresses, ",") {
-		r, err := try(ctx, hc, scheme+strings.TrimSpace(address), method, path, body, operator)
+		r, err := sendCall(ctx, hc, scheme+strings.TrimSpace(address), method, path, body, operator)
 		if err == nil {
 			return r, nil
 		}
-		sent = sent || !isDial(err)
-		last = err
+		sent = sent || !isConnectError(err)
+		lastErr = err
 	}
 	if sent && method != http.MethodGet {
-		return nil, fmt.Errorf("%w: %w", errUnknown, last)
+		return nil, fmt.Errorf("%w: %w", errUnknownOutcome, lastErr)
 	}
-	return nil, fmt.Errorf("%w: %w", errUnreachable, last)
+	return nil, fmt.Errorf("%w: %w", errUnreachable, lastErr)
 }
 
-func isDial(err error) bool {
+func isConnectError(err error) bool {
 	return strings.Contains(err.Error(), "dial ") || strings.Contains(err.Error(), "tls:")
 }
 
@@ -73,14 +73,14 @@
 		return nil, "", err
 	}
 	config := source.Client("")
-	// Boxes are named in their certificates, not their addresses: the chain is
-	// checked against the authority, the name is not.
+	// Certificates of boxes hold the box name instead of its address, so the
+	// chain is verified against the authority, but the host name is not.
 	config.InsecureSkipVerify = true
 	config.VerifyConnection = func(s tls.ConnectionState) error { return certs.VerifyChain(config.RootCAs, s) }
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{TLSClientConfig: config}}, "https://", nil
 }
 
-func try(ctx context.Context, hc *http.Client, base, method, path string, body []byte, operator string) (*reply, error) {
+func sendCall(ctx context.Context, hc *http.Client, base, method, path string, body []byte, operator string) (*reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the operators' command line. Each subcommand makes one
-// result, which is printed for people or, with -json, for programs.
+// Package command implements the operators' command line. Each subcommand
+// produces one result, printed as text or, with -json, as JSON.
 package command
 
 import (
@@ -15,30 +15,30 @@
 
 // Exit statuses, documented in docs/OPERATING.md.
 const (
-	// ExitOK: what was asked for was done.
+	// ExitOK: the subcommand succeeded.
 	ExitOK = subcommands.ExitSuccess
 	// ExitRefused: the file or call was refused; nothing was changed.
 	ExitRefused subcommands.ExitStatus = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage: the command line is invalid.
 	ExitUsage = subcommands.ExitUsageError
 	// ExitUnreachable: no box answered; nothing was changed.
 	ExitUnreachable subcommands.ExitStatus = 3
-	// ExitUnknown: whether the file was accepted is not known; apply it again.
+	// ExitUnknown: it is unknown whether the file was accepted; apply it again.
 	ExitUnknown subcommands.ExitStatus = 4
-	// ExitPropagating: the file is agreed, but not yet in force on a majority of
-	// the boxes.
+	// ExitPropagating: the file is committed, but not yet applied by a majority
+	// of the boxes.
 	ExitPropagating subcommands.ExitStatus = 5
 )
 
-// printer writes results.
+// printer writes results as text or JSON.
 type printer struct {
 	out, err io.Writer
 	json     bool
 }
 
-// result is what a subcommand found out.
+// result is the outcome of a subcommand.
 type result interface {
-	// text writes the result for people.
+	// text writes the result in readable form.
 	text(w io.Writer)
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// Main runs the command line of the process and returns the exit status.
+// Main runs the command line in os.Args and returns the exit status.
 func Main(out, err io.Writer) int { return Run(os.Args[1:], out, err) }
 
 // Run runs a command line and returns the exit status.
@@ -64,15 +64,15 @@
 	p := &printer{out: out, err: errOut}
 	flags.BoolVar(&p.json, "json", false, "print results as JSON")
 	c := &client{}
-	flags.StringVar(&c.addresses, "box", os.Getenv("LEVERDRUM_BOX"), "operators' addresses of boxes, separated by commas; the first that answers is used (LEVERDRUM_BOX)")
-	flags.StringVar(&c.certificate, "certificate", "", "file with the operator's certificate")
-	flags.StringVar(&c.key, "key", "", "file with the certificate's key")
-	flags.StringVar(&c.authority, "authority", "", "file with the certificates that boxes are checked against")
+	flags.StringVar(&c.addresses, "box", os.Getenv("LEVERDRUM_BOX"), "comma-separated operator addresses of boxes; the first box that answers is used (LEVERDRUM_BOX)")
+	flags.StringVar(&c.certificate, "certificate", "", "file with the operator's TLS certificate")
+	flags.StringVar(&c.key, "key", "", "file with the certificate's private key")
+	flags.StringVar(&c.authority, "authority", "", "file with the CA certificates that box certificates are verified against")
 	commander := subcommands.NewCommander(flags, "leverdrum")
 	commander.Output, commander.Error = out, errOut
 	commander.Register(commander.HelpCommand(), "")
 	for _, cmd := range []subcommands.Command{
-		&checkCommand{p}, &applyCommand{p: p, c: c}, &showCommand{p, c}, &statusCommand{p, c}, &explainCommand{p, c}, &storyCommand{p, os.Stdin}, &dayCommand{storyCommand: storyCommand{p, os.Stdin}}, &evacuateCommand{p: p, c: c}, &keyCommand{p}, &docsCommand{p},
+		&checkCommand{p}, &applyCommand{p: p, c: c}, &showCommand{p, c}, &statusCommand{p, c}, &explainCommand{p, c}, &explainRequestCommand{p, os.Stdin}, &explainDayCommand{explainRequestCommand: explainRequestCommand{p, os.Stdin}}, &evacuateCommand{p: p, c: c}, &keyCommand{p}, &docsCommand{p},
 	} {
 		commander.Register(cmd, "")
 	}
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -25,7 +25,7 @@
 }
 
 var _ = Describe("the operators' command", func() {
-	DescribeTable("passes the examples at today's sizes",
+	DescribeTable("accepts the example fleet files and counts their contents",
 		func(file string, servers, models, adapters, instances int) {
 			status, out, _ := run("-json", "check", filepath.Join("..", "examples", file))
 			Expect(status).To(BeZero())
@@ -47,21 +47,21 @@
 		Expect(out).To(ContainSubstring("2 faults"))
 	})
 
-	DescribeTable("documents its exit statuses",
+	DescribeTable("returns the documented exit status",
 		func(want int, args ...string) {
 			status, _, _ := run(args...)
 			Expect(status).To(Equal(want))
 		},
-		Entry("a file that is not there", 1, "check", "no-such-file"),
-		Entry("no file named", 2, "check"),
+		Entry("a missing file", 1, "check", "no-such-file"),
+		Entry("no file argument", 2, "check"),
 		Entry("an unknown subcommand", 2, "frobnicate"),
 		Entry("an unknown flag", 2, "-x", "check", "f"),
-		Entry("no box named", 3, "show"),
-		Entry("no box there", 3, "-box", "127.0.0.1:1", "status"),
-		Entry("an apply that reached nobody", 3, "-box", "127.0.0.1:1", "apply", "../examples/tabua.ini"),
+		Entry("no box address", 3, "show"),
+		Entry("an unreachable box", 3, "-box", "127.0.0.1:1", "status"),
+		Entry("an apply that reached no box", 3, "-box", "127.0.0.1:1", "apply", "../examples/tabua.ini"),
 	)
 
-	DescribeTable("keeps the pages made from its tables up to date (make docs)",
+	DescribeTable("generates the checked-in reference pages (make docs)",
 		func(name, file string) {
 			page, ok := command.Page(name)
 			Expect(ok).To(BeTrue())
--- a/command/evacuate.go
+++ b/command/evacuate.go
@@ -14,7 +14,7 @@
 	"leverdrum/admin"
 )
 
-// evacuationResult prints a box's answer to an evacuation.
+// evacuationResult prints a box's response to an evacuation call.
 type evacuationResult struct{ admin.EvacuationAnswer }
 
 func (r *evacuationResult) text(w io.Writer) {
@@ -22,9 +22,9 @@
 	case r.Reason != "":
 		fmt.Fprintf(w, "%s: %s\n", r.Reason, r.Text)
 	case r.Evacuated:
-		fmt.Fprintf(w, "data hall %s is evacuated: nothing goes to its backend servers\n", r.Hall)
+		fmt.Fprintf(w, "data hall %s is evacuated: nothing is sent to its backend servers\n", r.Hall)
 	default:
-		fmt.Fprintf(w, "data hall %s is not evacuated any more\n", r.Hall)
+		fmt.Fprintf(w, "data hall %s is no longer evacuated\n", r.Hall)
 	}
 }
 
@@ -36,19 +36,19 @@
 
 func (*evacuateCommand) Name() string { return "evacuate" }
 func (*evacuateCommand) Synopsis() string {
-	return "keep everything from the backend servers of a data hall"
+	return "stop sending anything to the backend servers of a data hall"
 }
 func (*evacuateCommand) Usage() string {
-	return "evacuate [-undo] HALL\n  Has nothing sent to the data hall's backend servers until it is taken back; both may be repeated.\n"
+	return "evacuate [-undo] HALL\n  Stops all traffic to the data hall's backend servers until -undo ends the evacuation; both calls may be repeated.\n"
 }
 
 func (c *evacuateCommand) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&c.undo, "undo", false, "take the evacuation back")
+	f.BoolVar(&c.undo, "undo", false, "end the evacuation")
 }
 
 func (c *evacuateCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		fmt.Fprintln(c.p.err, "one data hall must be named")
+		fmt.Fprintln(c.p.err, "exactly one data hall is required")
 		return ExitUsage
 	}
 	method := http.MethodPut
@@ -57,11 +57,11 @@
 	}
 	r, err := c.c.call(ctx, method, admin.EvacuationsPath+url.PathEscape(f.Arg(0)), nil, "")
 	if err != nil {
-		return callFailed(c.p, err)
+		return reportCallError(c.p, err)
 	}
 	answer := &evacuationResult{}
 	if err := json.Unmarshal(r.body, &answer.EvacuationAnswer); err != nil {
-		return callFailed(c.p, fmt.Errorf("%w: status %d", errUnknown, r.status))
+		return reportCallError(c.p, fmt.Errorf("%w: status %d", errUnknownOutcome, r.status))
 	}
 	c.p.print(answer)
 	switch {
--- a/command/explain.go
+++ b/command/explain.go
@@ -15,30 +15,32 @@
 	"leverdrum/story"
 )
 
-type storyResult struct{ *story.Timeline }
+type explainRequestResult struct{ *story.Timeline }
 
-func (r storyResult) text(w io.Writer) { r.Print(w) }
+func (r explainRequestResult) text(w io.Writer) { r.Print(w) }
 
-// storyCommand reads log files; it asks no box.
-type storyCommand struct {
+// explainRequestCommand reads log files; it contacts no box.
+type explainRequestCommand struct {
 	p  *printer
 	in io.Reader
 }
 
-func (*storyCommand) Name() string     { return "explain-request" }
-func (*storyCommand) Synopsis() string { return "tell from log files what became of a request" }
-func (*storyCommand) Usage() string {
-	return "explain-request ID [FILE ...]\n  Reads the logs of boxes, from standard input without files, and prints the request's lines with those of\n  what decided it, in order of time, and the cause. docs/OPERATIONS.md has examples.\n"
+func (*explainRequestCommand) Name() string { return "explain-request" }
+func (*explainRequestCommand) Synopsis() string {
+	return "reconstruct what happened to a request from log files"
 }
-func (*storyCommand) SetFlags(_ *flag.FlagSet) {}
+func (*explainRequestCommand) Usage() string {
+	return "explain-request ID [FILE ...]\n  Reads the logs of boxes, from standard input if no file is given, and prints the lines of the request and the\n  related lines about its server, model and leader, ordered by time, and the cause. docs/OPERATIONS.md has examples.\n"
+}
+func (*explainRequestCommand) SetFlags(_ *flag.FlagSet) {}
 
-func (c *storyCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *explainRequestCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() == 0 {
 		fmt.Fprint(c.p.err, c.Usage())
 		return ExitUsage
 	}
 	log := &story.Log{}
-	if err := c.read(log, f.Args()[1:]); err != nil {
+	if err := c.readLogs(log, f.Args()[1:]); err != nil {
 		fmt.Fprintln(c.p.err, err)
 		return ExitUsage
 	}
@@ -47,43 +49,45 @@
 		fmt.Fprintln(c.p.err, err)
 		return ExitRefused
 	}
-	c.p.print(storyResult{s})
+	c.p.print(explainRequestResult{s})
 	return ExitOK
 }
 
-type dayResult struct{ *story.Summary }
+type explainDayResult struct{ *story.Summary }
 
-func (r dayResult) text(w io.Writer) { r.Print(w) }
+func (r explainDayResult) text(w io.Writer) { r.Print(w) }
 
-// dayCommand accounts for all requests that log files tell of.
-type dayCommand struct {
-	storyCommand
+// explainDayCommand summarizes all requests in log files.
+type explainDayCommand struct {
+	explainRequestCommand
 	window time.Duration
 }
 
-func (*dayCommand) Name() string     { return "explain-day" }
-func (*dayCommand) Synopsis() string { return "tell from log files why requests were not in time" }
-func (*dayCommand) Usage() string {
-	return "explain-day [-window 2s] [FILE ...]\n  Reads the logs of boxes, at the level debug, from standard input without files, and counts the requests that were\n  not in time by cause, route, model and server, and by windows of time, the worst first.\n"
+func (*explainDayCommand) Name() string { return "explain-day" }
+func (*explainDayCommand) Synopsis() string {
+	return "summarize from log files why requests were not in time"
+}
+func (*explainDayCommand) Usage() string {
+	return "explain-day [-window 2s] [FILE ...]\n  Reads the logs of boxes at level debug, from standard input if no file is given, and counts the requests that were\n  not in time by cause, route, model and server, and by time window, the worst window first.\n"
 }
 
-func (c *dayCommand) SetFlags(f *flag.FlagSet) {
-	f.DurationVar(&c.window, "window", 2*time.Second, "length of the windows of time")
+func (c *explainDayCommand) SetFlags(f *flag.FlagSet) {
+	f.DurationVar(&c.window, "window", 2*time.Second, "length of the time windows")
 }
 
-func (c *dayCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *explainDayCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	log := &story.Log{}
-	if err := c.read(log, f.Args()); err != nil || c.window <= 0 {
-		fmt.Fprintln(c.p.err, "explain-day:", cmp.Or(err, errWindow))
+	if err := c.readLogs(log, f.Args()); err != nil || c.window <= 0 {
+		fmt.Fprintln(c.p.err, "explain-day:", cmp.Or(err, errInvalidWindow))
 		return ExitUsage
 	}
-	c.p.print(dayResult{log.Summarize(c.window)})
+	c.p.print(explainDayResult{log.Summarize(c.window)})
 	return ExitOK
 }
 
-var errWindow = errors.New("the window must be longer than 0")
+var errInvalidWindow = errors.New("window must be greater than 0")
 
-func (c *storyCommand) read(log *story.Log, files []string) error {
+func (c *explainRequestCommand) readLogs(log *story.Log, files []string) error {
 	if len(files) == 0 {
 		return log.Read(c.in)
 	}
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -18,7 +18,7 @@
 	"leverdrum/internal/conf"
 )
 
-// CheckResult is the result of check.
+// CheckResult is the result of the check subcommand: the contents of a fleet file, or its faults.
 type CheckResult struct {
 	File       string       `json:"file"`
 	OK         bool         `json:"ok"`
@@ -49,7 +49,7 @@
 	r := &CheckResult{File: path}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		r.Faults = []conf.Fault{{File: path, Problem: "cannot be read: " + err.Error()}}
+		r.Faults = []conf.Fault{{File: path, Problem: "cannot read file: " + err.Error()}}
 		return r, nil
 	}
 	f, err := fleet.Parse(path, text)
@@ -66,15 +66,15 @@
 type checkCommand struct{ p *printer }
 
 func (*checkCommand) Name() string     { return "check" }
-func (*checkCommand) Synopsis() string { return "check a fleet file, offline" }
+func (*checkCommand) Synopsis() string { return "validate a fleet file offline" }
 func (*checkCommand) Usage() string {
-	return "check FILE\n  Lists every fault of the file; exits 1 if there are any.\n"
+	return "check FILE\n  Lists all faults of the file and exits with status 1 if there are any.\n"
 }
 func (*checkCommand) SetFlags(*flag.FlagSet) {}
 
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		fmt.Fprintln(c.p.err, "one fleet file must be named")
+		fmt.Fprintln(c.p.err, "exactly one fleet file is required")
 		return ExitUsage
 	}
 	r, _ := checkFile(f.Arg(0))
@@ -85,7 +85,7 @@
 	return ExitOK
 }
 
-// applyResult prints a box's answer to an apply.
+// applyResult prints a box's response to an apply call.
 type applyResult struct{ admin.ApplyAnswer }
 
 func (r *applyResult) text(w io.Writer) {
@@ -94,7 +94,7 @@
 		fmt.Fprintf(w, ": file number %d, digest %.12s, by %q, since %s", r.Winner.Number, r.Winner.Digest, r.Winner.Operator, r.Winner.Since.Format("2006-01-02 15:04:05Z07:00"))
 	}
 	if r.Boxes > 0 {
-		fmt.Fprintf(w, "; in force on %d of %d boxes", r.AppliedBy, r.Boxes)
+		fmt.Fprintf(w, "; applied by %d of %d boxes", r.AppliedBy, r.Boxes)
 	}
 	fmt.Fprintln(w)
 	if r.Reason != "" {
@@ -114,19 +114,19 @@
 func (*applyCommand) Name() string     { return "apply" }
 func (*applyCommand) Synopsis() string { return "apply a complete fleet file" }
 func (*applyCommand) Usage() string {
-	return "apply [-operator NAME] FILE\n  Checks the file, sends it, and waits until it is in force on a majority of the boxes.\n"
+	return "apply [-operator NAME] FILE\n  Validates the file, sends it and waits until a majority of the boxes have applied it.\n"
 }
 func (c *applyCommand) SetFlags(f *flag.FlagSet) {
 	name := ""
 	if u, err := user.Current(); err == nil {
 		name = u.Username
 	}
-	f.StringVar(&c.operator, "operator", name, "who applies the file")
+	f.StringVar(&c.operator, "operator", name, "name of the operator who applies the file")
 }
 
 func (c *applyCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		fmt.Fprintln(c.p.err, "one fleet file must be named")
+		fmt.Fprintln(c.p.err, "exactly one fleet file is required")
 		return ExitUsage
 	}
 	checked, text := checkFile(f.Arg(0))
@@ -136,11 +136,11 @@
 	}
 	r, err := c.c.call(ctx, http.MethodPut, admin.FleetPath, text, c.operator)
 	if err != nil {
-		return callFailed(c.p, err)
+		return reportCallError(c.p, err)
 	}
 	answer := &applyResult{}
 	if err := json.Unmarshal(r.body, &answer.ApplyAnswer); err != nil {
-		return callFailed(c.p, fmt.Errorf("%w: status %d", errUnknown, r.status))
+		return reportCallError(c.p, fmt.Errorf("%w: status %d", errUnknownOutcome, r.status))
 	}
 	c.p.print(answer)
 	return applyStatus(r.status, answer.Outcome)
@@ -158,9 +158,9 @@
 	return ExitRefused
 }
 
-func callFailed(p *printer, err error) subcommands.ExitStatus {
+func reportCallError(p *printer, err error) subcommands.ExitStatus {
 	fmt.Fprintln(p.err, err)
-	if errors.Is(err, errUnknown) {
+	if errors.Is(err, errUnknownOutcome) {
 		return ExitUnknown
 	}
 	return ExitUnreachable
--- a/command/key.go
+++ b/command/key.go
@@ -11,25 +11,25 @@
 	"leverdrum/workspace"
 )
 
-// keyResult is a new key and what stands for it.
+// keyResult is a new key and its digest.
 type keyResult struct {
 	Key string `json:"key"`
-	// Line is what a fleet file may hold in place of the key.
+	// Line is the form of the key's digest in a fleet file.
 	Line string `json:"line"`
-	// Shown is how the key is shown by explain.
+	// Shown is the form in which explain prints the key.
 	Shown string `json:"shown"`
 }
 
 func (r *keyResult) text(w io.Writer) {
-	fmt.Fprintf(w, "key:  %s\nline: keys = %s\nshown as %s; the key itself is kept nowhere\n", r.Key, r.Line, r.Shown)
+	fmt.Fprintf(w, "key:  %s\nline: keys = %s\nshown as %s; the key itself is not stored\n", r.Key, r.Line, r.Shown)
 }
 
 type keyCommand struct{ p *printer }
 
 func (*keyCommand) Name() string     { return "key" }
-func (*keyCommand) Synopsis() string { return "make a key of a workspace, and its line" }
+func (*keyCommand) Synopsis() string { return "generate a workspace key and its fleet file line" }
 func (*keyCommand) Usage() string {
-	return "key\n  Draws a key, for the caller, and prints the line of the fleet file that holds its digest. Nothing is sent anywhere.\n"
+	return "key\n  Generates a random key for a caller and prints it with the fleet file line that holds its digest. No box is contacted.\n"
 }
 func (*keyCommand) SetFlags(*flag.FlagSet) {}
 
--- a/command/read.go
+++ b/command/read.go
@@ -34,9 +34,11 @@
 	c *client
 }
 
-func (*showCommand) Name() string             { return "show" }
-func (*showCommand) Synopsis() string         { return "print the fleet file in force" }
-func (*showCommand) Usage() string            { return "show\n  Reads the file back from the leader.\n" }
+func (*showCommand) Name() string     { return "show" }
+func (*showCommand) Synopsis() string { return "print the active fleet file" }
+func (*showCommand) Usage() string {
+	return "show\n  Reads the active file from the leader, with keys replaced by their digests.\n"
+}
 func (*showCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (c *showCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -48,23 +50,23 @@
 	return ExitOK
 }
 
-// read asks for what is in force. Without an answer it prints why, and returns the exit
-// status that says so.
+// read queries the leader's state through a box. On failure it prints the cause and returns nil with the matching exit
+// status.
 func (c *client) read(ctx context.Context, p *printer, path string) (*reply, subcommands.ExitStatus) {
 	r, err := c.call(ctx, http.MethodGet, path, nil, "")
 	if err != nil {
-		return nil, callFailed(p, err)
+		return nil, reportCallError(p, err)
 	}
 	if r.status != http.StatusOK {
-		return nil, refused(p, r)
+		return nil, reportRefusal(p, r)
 	}
 	return r, ExitOK
 }
 
-func refused(p *printer, r *reply) subcommands.ExitStatus {
+func reportRefusal(p *printer, r *reply) subcommands.ExitStatus {
 	answer := &applyResult{}
 	if err := json.Unmarshal(r.body, &answer.ApplyAnswer); err != nil {
-		fmt.Fprintf(p.err, "status %d: %s\n", r.status, strings.TrimSpace(string(r.body)))
+		fmt.Fprintf(p.err, "HTTP status %d: %s\n", r.status, strings.TrimSpace(string(r.body)))
 		return ExitRefused
 	}
 	p.print(answer)
@@ -75,14 +77,14 @@
 
 func (r *statusResult) text(w io.Writer) {
 	if r.Fleet == nil {
-		fmt.Fprintln(w, "no fleet file is in force")
+		fmt.Fprintln(w, "no fleet file is active")
 	} else {
 		fmt.Fprintf(w, "fleet file %d, digest %.12s, by %q, since %s\n", r.Fleet.Number, r.Fleet.Digest, r.Fleet.Operator, r.Fleet.Since.Format("2006-01-02 15:04:05Z07:00"))
 	}
 	fmt.Fprintf(w, "leader %s in term %d, index %d, %d open orders, %d moves\n\n", r.Leader, r.Term, r.Index, r.Orders, r.Moves)
 	fmt.Fprintln(w, r.Level)
 	if r.LevelBlocker != "" {
-		fmt.Fprintf(w, "the next one waits for %s\n", r.LevelBlocker)
+		fmt.Fprintf(w, "next level waits for %s\n", r.LevelBlocker)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "BOX\tHALL\tDISK\tVOTER\tBUILD\tLEVEL\tSTATE\tINDEX\tHEARD")
@@ -95,16 +97,16 @@
 	}
 	t.Flush()
 	for _, e := range r.Evacuations {
-		fmt.Fprintf(w, "\ndata hall %s is evacuated since %s: nothing goes to its backend servers\n", e.Hall, e.Since.Format("15:04:05Z07:00"))
+		fmt.Fprintf(w, "\ndata hall %s evacuated since %s: nothing is sent to its backend servers\n", e.Hall, e.Since.Format("15:04:05Z07:00"))
 	}
 	if len(r.Limits) > 0 {
-		fmt.Fprintln(w, "\nservers that take no more than they name, in requests a second over all boxes:")
+		fmt.Fprintln(w, "\nservers with a rate limit, in requests per second over all boxes:")
 	}
 	for _, l := range r.Limits {
 		fmt.Fprintf(w, "%s  %.3g, since %s\n", l.Server, l.PerSecond, l.Since.Format("15:04:05Z07:00"))
 	}
 	if len(r.ServerStatuses) > 0 {
-		fmt.Fprintf(w, "\nservers that said in their answers to box %s that they rest or drain:\n", r.AnsweredBy)
+		fmt.Fprintf(w, "\nservers in backoff or draining, according to their responses to box %s:\n", r.AnsweredBy)
 	}
 	for _, row := range r.ServerStatuses {
 		fmt.Fprintf(w, "%s  %s\n", row.Server, strings.Join(row.Lines(), "; "))
@@ -112,9 +114,9 @@
 	if len(r.Blocked) == 0 {
 		return
 	}
-	fmt.Fprintln(w, "\nrequests kept from servers, which ended while they ran them:")
+	fmt.Fprintln(w, "\nrequests blocked because servers terminated while processing them:")
 	for _, h := range r.Blocked {
-		fmt.Fprintf(w, "%s  version %q, %d times, since %s; ended last: %s\n", h.Fingerprint, h.Version, h.BlockCount, h.Since.Format("15:04:05Z07:00"), strings.Join(h.Servers, " "))
+		fmt.Fprintf(w, "%s  version %q, %d times, since %s; last terminated: %s\n", h.Fingerprint, h.Version, h.BlockCount, h.Since.Format("15:04:05Z07:00"), strings.Join(h.Servers, " "))
 	}
 }
 
@@ -123,10 +125,12 @@
 	c *client
 }
 
-func (*statusCommand) Name() string     { return "status" }
-func (*statusCommand) Synopsis() string { return "print what is in force, and where" }
+func (*statusCommand) Name() string { return "status" }
+func (*statusCommand) Synopsis() string {
+	return "print the active fleet file and the state of the cluster"
+}
 func (*statusCommand) Usage() string {
-	return "status\n  Reads from the leader which file is in force on which boxes, and which models are ready where.\n"
+	return "status\n  Reads from the leader which boxes have applied the fleet file and which servers have which models ready.\n"
 }
 func (*statusCommand) SetFlags(_ *flag.FlagSet) {}
 
@@ -137,7 +141,7 @@
 	}
 	s := &statusResult{}
 	if err := json.Unmarshal(r.body, &s.Status); err != nil {
-		return callFailed(c.p, err)
+		return reportCallError(c.p, err)
 	}
 	c.p.print(s)
 	return ExitOK
@@ -164,10 +168,10 @@
 
 func (*explainCommand) Name() string { return "explain" }
 func (*explainCommand) Synopsis() string {
-	return "say what was decided about a request, model, server or workspace, and why"
+	return "print recent decisions about a request, model, server or workspace"
 }
 func (*explainCommand) Usage() string {
-	return "explain [workspace] NAME\n  NAME is a request id, a model, an adapter, a backend server or a workspace. All boxes named by -box are asked.\n"
+	return "explain [workspace] NAME\n  NAME is a request id, a model, an adapter, a backend server or a workspace. All boxes in -box are queried.\n"
 }
 func (*explainCommand) SetFlags(_ *flag.FlagSet) {}
 
@@ -177,17 +181,17 @@
 		args = args[1:]
 	}
 	if len(args) != 1 {
-		fmt.Fprintln(c.p.err, "one name must be given")
+		fmt.Fprintln(c.p.err, "exactly one name is required")
 		return ExitUsage
 	}
 	var found explainResult
-	var last error
+	var lastErr error
 	for address := range strings.SplitSeq(c.c.addresses, ",") {
-		one := *c.c
-		one.addresses = address
-		r, err := one.call(ctx, http.MethodGet, admin.ExplainPath+url.PathEscape(args[0]), nil, "")
+		single := *c.c
+		single.addresses = address
+		r, err := single.call(ctx, http.MethodGet, admin.ExplainPath+url.PathEscape(args[0]), nil, "")
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		e := admin.Explanation{}
@@ -195,8 +199,8 @@
 			found = append(found, e)
 		}
 	}
-	if len(found) == 0 && last != nil {
-		return callFailed(c.p, last)
+	if len(found) == 0 && lastErr != nil {
+		return reportCallError(c.p, lastErr)
 	}
 	if len(found) == 0 {
 		fmt.Fprintln(c.p.err, reason.NotFound.Title, reason.NotFound.Remedy)
@@ -206,7 +210,7 @@
 	return ExitOK
 }
 
-// docsResult is the generated part of the docs.
+// docsResult is a generated page of the documentation.
 type docsResult struct {
 	Page string `json:"page"`
 }
@@ -215,22 +219,24 @@
 
 type docsCommand struct{ p *printer }
 
-func (*docsCommand) Name() string             { return "docs" }
-func (*docsCommand) Synopsis() string         { return "print a page made from the program's tables" }
+func (*docsCommand) Name() string { return "docs" }
+func (*docsCommand) Synopsis() string {
+	return "print a reference page generated from the program's tables"
+}
 func (*docsCommand) Usage() string            { return "docs reasons|metrics|events|settings|fleet\n" }
 func (*docsCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (c *docsCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	page, ok := Page(f.Arg(0))
 	if !ok {
-		fmt.Fprintln(c.p.err, "one of reasons, metrics, events, settings and fleet must be named")
+		fmt.Fprintln(c.p.err, "page must be one of reasons, metrics, events, settings, fleet")
 		return ExitUsage
 	}
 	c.p.print(&docsResult{page})
 	return ExitOK
 }
 
-// Page returns a page of the docs that is made from the program's tables.
+// Page returns a page of the documentation that is generated from the program's tables, or false for an unknown name.
 func Page(name string) (string, bool) {
 	var b strings.Builder
 	switch name {
