--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the command line of a box: it reads the settings, starts
-// the box, and stops it on a signal.
+// Package daemon implements the command line of a box: it reads the settings,
+// runs the box, and stops it on a signal.
 package daemon
 
 import (
@@ -25,8 +25,8 @@
 )
 
 // Main runs the daemon's command line and returns the exit status: 0 after a
-// planned stop, 1 when the box could not start or go on, 2 for a wrong command
-// line or faulty settings, 3 when a planned stop cut requests off.
+// planned stop, 1 if the box could not start or failed later, 2 for an invalid
+// command line or invalid settings, 3 if a planned stop aborted requests.
 func Main() int {
 	commander := subcommands.NewCommander(flag.CommandLine, "leverdrumd")
 	commander.Register(commander.HelpCommand(), "")
@@ -37,12 +37,12 @@
 	return int(commander.Execute(context.Background()))
 }
 
-// Exit statuses beside those of package subcommands.
-const exitCutOff subcommands.ExitStatus = 3
+// exitRequestsAborted supplements the exit statuses of package subcommands.
+const exitRequestsAborted subcommands.ExitStatus = 3
 
-func load(f *flag.FlagSet, path string) (*settings.Settings, bool) {
+func loadSettings(f *flag.FlagSet, path string) (*settings.Settings, bool) {
 	if path == "" || f.NArg() > 1 {
-		fmt.Fprintln(os.Stderr, "one settings file must be named")
+		fmt.Fprintln(os.Stderr, "exactly one settings file is required")
 		return nil, false
 	}
 	s, err := settings.Load(path)
@@ -56,12 +56,12 @@
 type checkCommand struct{}
 
 func (*checkCommand) Name() string             { return "check" }
-func (*checkCommand) Synopsis() string         { return "check a settings file" }
-func (*checkCommand) Usage() string            { return "check FILE\n  Lists every fault of the file.\n" }
+func (*checkCommand) Synopsis() string         { return "validate a settings file" }
+func (*checkCommand) Usage() string            { return "check FILE\n  Lists all faults of the file.\n" }
 func (*checkCommand) SetFlags(_ *flag.FlagSet) {}
 
 func (*checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if _, ok := load(f, f.Arg(0)); !ok {
+	if _, ok := loadSettings(f, f.Arg(0)); !ok {
 		return subcommands.ExitUsageError
 	}
 	fmt.Println("ok")
@@ -71,16 +71,16 @@
 type runCommand struct{ variable string }
 
 func (*runCommand) Name() string     { return "run" }
-func (*runCommand) Synopsis() string { return "run the box of a settings file" }
+func (*runCommand) Synopsis() string { return "run a box with the given settings file" }
 func (*runCommand) Usage() string {
 	return "run FILE | run -settings-variable NAME\n  Runs until SIGTERM or SIGINT.\n"
 }
 
 func (c *runCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.variable, "settings-variable", "", "environment variable that names the settings file")
+	f.StringVar(&c.variable, "settings-variable", "", "environment variable that holds the path of the settings file")
 }
 
-// path returns the settings file that is named, or that the variable names.
+// path returns the settings file from the environment variable if one is given, otherwise from the arguments.
 func (c *runCommand) path(f *flag.FlagSet) string {
 	if c.variable != "" {
 		return os.Getenv(c.variable)
@@ -88,35 +88,36 @@
 	return f.Arg(0)
 }
 
-// signals are what the process was sent. Each kind has a channel of its own: what a
-// full channel would drop is then only a repetition.
-type signals struct{ stop, again chan os.Signal }
+// signals receives the process's signals. Each kind has its own channel, so that a full
+// channel only drops repetitions of the same kind.
+type signals struct{ stop, reload chan os.Signal }
 
-// catch heeds signals from now on. A SIGHUP that comes before would end the process.
-func catch() signals {
+// notifySignals starts the delivery of signals. Before this call a SIGHUP terminates the
+// process.
+func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(s.again, syscall.SIGHUP)
+	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
-// await returns nil at a signal to stop, or why the box cannot go on. At SIGHUP it
-// calls again.
-func (s signals) await(fatal <-chan error, again func()) error {
+// await blocks until a stop signal, for which it returns nil, or a fatal error of the
+// box, which it returns. It calls onReload at each SIGHUP.
+func (s signals) await(fatal <-chan error, onReload func()) error {
 	for {
 		select {
 		case err := <-fatal:
 			return err
 		case <-s.stop:
 			return nil
-		case <-s.again:
-			again()
+		case <-s.reload:
+			onReload()
 		}
 	}
 }
 
-// reload reads the settings again. What cannot change while a box runs stays as it
-// is; faulty settings change nothing.
+// reload returns a function that reloads the settings file. Settings that cannot change
+// while the box runs keep their values; invalid settings change nothing.
 func reload(b *box.Box, path string, log *zap.Logger) func() {
 	return func() {
 		next, err := settings.Load(path)
@@ -130,20 +131,20 @@
 }
 
 func (c *runCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	sent := catch()
-	s, ok := load(f, c.path(f))
+	sigs := notifySignals()
+	s, ok := loadSettings(f, c.path(f))
 	if !ok {
 		return subcommands.ExitUsageError
 	}
 	if s.MemoryLimit > 0 {
-		go keepMemory(s.MemoryLimit)
+		go adjustGC(s.MemoryLimit)
 	}
 	log := newLog(s)
 	defer func() { _ = log.Sync() }()
-	return run(s, c.path(f), sent, log)
+	return run(s, c.path(f), sigs, log)
 }
 
-// newLog writes JSON lines to standard output, without ever holding anybody up.
+// newLog returns a logger that writes JSON lines to standard output and never blocks its callers.
 func newLog(s *settings.Settings) *zap.Logger {
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.ISO8601TimeEncoder
@@ -174,7 +175,7 @@
 	return source, nil
 }
 
-func run(s *settings.Settings, path string, sent signals, log *zap.Logger) subcommands.ExitStatus {
+func run(s *settings.Settings, path string, sigs signals, log *zap.Logger) subcommands.ExitStatus {
 	done := make(chan struct{})
 	defer close(done)
 	event.Starting.Log(log, zap.String("build", build.Name()), zap.Stringer("knows", level.Newest))
@@ -189,12 +190,12 @@
 		return subcommands.ExitFailure
 	}
 	event.Started.Log(log, zap.Strings("roles", s.Roles))
-	if err := sent.await(b.Fatal(), reload(b, path, log)); err != nil {
+	if err := sigs.await(b.Fatal(), reload(b, path, log)); err != nil {
 		event.FatalError.Log(log, event.ErrorField(err))
 		return subcommands.ExitFailure
 	}
 	if err := b.Stop(); err != nil {
-		return exitCutOff
+		return exitRequestsAborted
 	}
 	event.Stopped.Log(log)
 	return subcommands.ExitSuccess
--- a/daemon/version.go
+++ b/daemon/version.go
@@ -13,8 +13,10 @@
 
 type versionCommand struct{}
 
-func (*versionCommand) Name() string             { return "version" }
-func (*versionCommand) Synopsis() string         { return "print the build and the newest level that it knows" }
+func (*versionCommand) Name() string { return "version" }
+func (*versionCommand) Synopsis() string {
+	return "print the build and the newest level that it supports"
+}
 func (*versionCommand) Usage() string            { return "version\n" }
 func (*versionCommand) SetFlags(_ *flag.FlagSet) {}
 
