--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -21,7 +21,7 @@
 	}
 	status, out, _ := run("explain-request", "r1", file)
 	g.Expect(status).To(BeEquivalentTo(ExitOK))
-	g.Expect(out).To(ContainSubstring("caller left"))
+	g.Expect(out).To(ContainSubstring("caller disconnected"))
 	status, out, _ = run("-json", "explain-request", "r1", file)
 	g.Expect(status).To(BeEquivalentTo(ExitOK))
 	g.Expect(out).To(ContainSubstring(`"outcome": "caller-gone"`))
--- a/story/summary.go
+++ b/story/summary.go
@@ -12,35 +12,37 @@
 	"leverdrum/reason"
 )
 
-// Rules for the account of a day:
+// Rules for the summary of requests:
 //
-//  1. Every line that ends a request counts once, at the moment at which the request came;
-//     a caller's second try is a request of its own.
-//  2. A request was in time if its server's answer passed with success, its first event came
-//     within its route's aim, and no pause between two events was longer than its route
-//     bears. Answered requests have lines at the level debug only.
-//  3. Any other has exactly one cause, the first row of the table below that fits.
-//  4. Time is cut into windows of equal length; those with the smallest share in time come
-//     first.
-
-// What a line must say to fall under a cause (3).
+//  1. Every line that ends a request counts once, at the arrival time of the request. A
+//     retry by the caller is a separate request.
+//  2. A request was in time if its server's response was passed on successfully, its first
+//     event arrived within its route's latency target, and no gap between two events
+//     exceeded the route's limit. Answered requests are only logged at level debug.
+//  3. Every other request has exactly one cause, the first matching row of causeTable.
+//  4. Time is divided into windows of equal length, sorted by ascending share of requests
+//     in time.
+
+// causeRow is a cause and the condition that a line must meet to be counted under it (3).
 type causeRow struct {
-	cause string
-	fits  func(l *Line) bool
+	cause   string
+	matches func(l *Line) bool
 }
 
-// far is the part of its aim that a request must have waited for the wait to be its cause.
-const far = 0.5
+// waitCauseFraction is the fraction of its latency target that a request must have waited for the wait to be its cause.
+const waitCauseFraction = 0.5
 
 var causeTable = []causeRow{
-	{"the server's own failure", func(l *Line) bool { return l.Event == event.RequestDone.Code && l.number("status") >= 400 }},
-	{"late: a sending failed before", func(l *Line) bool { return l.lateFirst() && l.number("sends") > 1 }},
-	{"late: no server had the model yet", func(l *Line) bool { return l.lateFirst() && l.number("waited") > far*l.number("aim") }},
-	{"late: others waited at the server", func(l *Line) bool {
-		return l.lateFirst() && l.number("behind") > l.number("reckoned")
+	{"the server returned an error", func(l *Line) bool { return l.Event == event.RequestDone.Code && l.number("status") >= 400 }},
+	{"late: an earlier attempt failed", func(l *Line) bool { return l.firstEventLate() && l.number("sends") > 1 }},
+	{"late: no server had the model ready", func(l *Line) bool {
+		return l.firstEventLate() && l.number("waited") > waitCauseFraction*l.number("aim")
 	}},
-	{"late: the server took longer than reckoned", func(l *Line) bool { return l.lateFirst() }},
-	{"late: a pause between two events", func(l *Line) bool { return l.latePause() }},
+	{"late: queued behind other requests at the server", func(l *Line) bool {
+		return l.firstEventLate() && l.number("behind") > l.number("reckoned")
+	}},
+	{"late: the server took longer than estimated", func(l *Line) bool { return l.firstEventLate() }},
+	{"late: a gap between two events", func(l *Line) bool { return l.pauseTooLong() }},
 }
 
 func (l *Line) number(name string) float64 {
@@ -48,34 +50,34 @@
 	return v
 }
 
-func (l *Line) lateFirst() bool {
+func (l *Line) firstEventLate() bool {
 	return l.Event == event.RequestDone.Code && l.number("first") > l.number("aim")
 }
 
-func (l *Line) latePause() bool {
+func (l *Line) pauseTooLong() bool {
 	pause := l.number("pause")
 	return l.Event == event.RequestDone.Code && pause > 0 && l.number("longest") > pause
 }
 
-// causeOf returns why a request was not answered in time, "" if it was; false for a line
-// that ends none.
-func causeOf(l *Line) (string, bool) {
+// missCause returns why a request was not answered in time, or "" if it was. It returns
+// false for a line that does not end a request.
+func missCause(l *Line) (string, bool) {
 	switch l.Event {
 	case event.RequestDone.Code:
 		for _, row := range causeTable {
-			if row.fits(l) {
+			if row.matches(l) {
 				return row.cause, true
 			}
 		}
 		return "", true
 	case event.RequestFailed.Code, event.RequestRefused.Code:
-		return endOf(l), true
+		return outcomeCause(l), true
 	}
 	return "", false
 }
 
-// endOf names the outcome of a request that got no server's answer.
-func endOf(l *Line) string {
+// outcomeCause names the outcome of a request that received no response from a server.
+func outcomeCause(l *Line) string {
 	outcome := l.field("outcome")
 	if why := reason.ByCode(outcome); why != nil {
 		return fmt.Sprintf("%s: %s", outcome, why.Title)
@@ -83,13 +85,13 @@
 	return outcome
 }
 
-// Count is how many requests fell under a name.
+// Count is the number of requests under a name.
 type Count struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
 }
 
-// Window is a stretch of time.
+// Window counts the requests that arrived in a period of time.
 type Window struct {
 	From     time.Time `json:"from"`
 	Requests int       `json:"requests"`
@@ -97,10 +99,10 @@
 	Causes   []Count   `json:"causes"`
 }
 
-// InTimeShare is the share of requests in time.
+// InTimeShare returns the fraction of requests that were in time.
 func (w *Window) InTimeShare() float64 { return float64(w.InTime) / float64(max(1, w.Requests)) }
 
-// Summary is the account of what the logs tell.
+// Summary counts the requests in the logs, and their causes of lateness or failure.
 type Summary struct {
 	Requests int     `json:"requests"`
 	InTime   int     `json:"in_time"`
@@ -109,26 +111,26 @@
 	Routes  []Count `json:"routes"`
 	Models  []Count `json:"models"`
 	Servers []Count `json:"servers"`
-	// Windows are those with the smallest share in time first.
+	// Windows are sorted by ascending share of requests in time.
 	Windows []Window `json:"windows"`
 }
 
-// Summarize returns the account, in windows of a length.
+// Summarize returns the summary of all lines, with windows of the given length.
 func (l *Log) Summarize(length time.Duration) *Summary {
 	d := &Summary{}
 	causes, routes, models, servers := map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	windows := map[time.Time]*tally{}
 	for i := range l.Lines {
 		line := &l.Lines[i]
-		cause, ends := causeOf(line)
-		if !ends {
+		cause, isEnd := missCause(line)
+		if !isEnd {
 			continue
 		}
-		came := line.Time.Add(-time.Duration(line.number("after") * float64(time.Second))) // (1)
-		w := windows[came.Truncate(length)]
+		arrived := line.Time.Add(-time.Duration(line.number("after") * float64(time.Second))) // (1)
+		w := windows[arrived.Truncate(length)]
 		if w == nil {
 			w = &tally{causes: map[string]int{}}
-			windows[came.Truncate(length)] = w
+			windows[arrived.Truncate(length)] = w
 		}
 		d.Requests++
 		w.requests++
@@ -145,9 +147,9 @@
 			}
 		}
 	}
-	d.Causes, d.Routes, d.Models, d.Servers = counts(causes), counts(routes), counts(models), counts(servers)
+	d.Causes, d.Routes, d.Models, d.Servers = sortedCounts(causes), sortedCounts(routes), sortedCounts(models), sortedCounts(servers)
 	for from, w := range windows {
-		d.Windows = append(d.Windows, Window{from, w.requests, w.inTime, counts(w.causes)})
+		d.Windows = append(d.Windows, Window{from, w.requests, w.inTime, sortedCounts(w.causes)})
 	}
 	slices.SortFunc(d.Windows, func(a, b Window) int { // (4)
 		return cmp.Or(cmp.Compare(a.InTimeShare(), b.InTimeShare()), a.From.Compare(b.From))
@@ -160,8 +162,8 @@
 	causes           map[string]int
 }
 
-// counts lists the most frequent first.
-func counts(m map[string]int) []Count {
+// sortedCounts returns the counts, the most frequent first.
+func sortedCounts(m map[string]int) []Count {
 	list := make([]Count, 0, len(m))
 	for name, n := range m {
 		list = append(list, Count{name, n})
@@ -173,29 +175,29 @@
 }
 
 const (
-	// printedWindows and printedRows bound what Print writes of each kind.
-	printedWindows = 5
-	printedRows    = 8
+	// maxPrintedWindows and maxPrintedRows bound the windows, and the rows of each table, that Print writes.
+	maxPrintedWindows = 5
+	maxPrintedRows    = 8
 )
 
-// Print writes the account for people.
+// Print writes the summary as text.
 func (d *Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d requests, %d in time (%.3f)\n", d.Requests, d.InTime, float64(d.InTime)/math.Max(1, float64(d.Requests)))
-	printCounts(w, "causes of the others", d.Causes, len(d.Causes))
-	printCounts(w, "by route", d.Routes, printedRows)
-	printCounts(w, "by model", d.Models, printedRows)
-	printCounts(w, "by server", d.Servers, printedRows)
-	for _, win := range d.Windows[:min(len(d.Windows), printedWindows)] {
+	printCounts(w, "causes of requests not in time", d.Causes, len(d.Causes))
+	printCounts(w, "by route", d.Routes, maxPrintedRows)
+	printCounts(w, "by model", d.Models, maxPrintedRows)
+	printCounts(w, "by server", d.Servers, maxPrintedRows)
+	for _, win := range d.Windows[:min(len(d.Windows), maxPrintedWindows)] {
 		fmt.Fprintf(w, "\nfrom %s: %d of %d in time\n", win.From.Format("15:04:05.0"), win.InTime, win.Requests)
-		printCounts(w, "", win.Causes, printedRows)
+		printCounts(w, "", win.Causes, maxPrintedRows)
 	}
 }
 
-func printCounts(w io.Writer, title string, list []Count, most int) {
+func printCounts(w io.Writer, title string, list []Count, limit int) {
 	if title != "" {
 		fmt.Fprintf(w, "\n%s\n", title)
 	}
-	for _, c := range list[:min(len(list), most)] {
+	for _, c := range list[:min(len(list), limit)] {
 		fmt.Fprintf(w, "%8d  %s\n", c.Requests, c.Name)
 	}
 }
--- a/story/summary_test.go
+++ b/story/summary_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-const dayLog = `b1 {"ts":"2026-12-02T10:00:00.500Z","box":"b1","event":"request-done","request":"1","route":"r","model":"m","server":"s1","status":200,"aim":0.4,"pause":0.25,"first":0.05,"longest":0.1,"after":0.4,"sends":1}
+const sampleLog = `b1 {"ts":"2026-12-02T10:00:00.500Z","box":"b1","event":"request-done","request":"1","route":"r","model":"m","server":"s1","status":200,"aim":0.4,"pause":0.25,"first":0.05,"longest":0.1,"after":0.4,"sends":1}
 b1 {"ts":"2026-12-02T10:00:00.900Z","box":"b1","event":"request-done","request":"2","route":"r","model":"m","server":"s1","status":200,"aim":0.4,"pause":0.25,"first":0.05,"longest":0.3,"after":0.8,"sends":1}
 b1 {"ts":"2026-12-02T10:00:01.200Z","box":"b1","event":"request-done","request":"3","route":"r","model":"m","server":"s2","status":200,"aim":0.4,"first":0.6,"after":0.9,"sends":2}
 b1 {"ts":"2026-12-02T10:00:03.000Z","box":"b1","event":"request-done","request":"4","route":"r","server":"s2","status":200,"aim":0.4,"first":0.6,"waited":0.5,"after":0.7,"sends":1}
@@ -22,15 +22,15 @@
 no line of ours
 `
 
-func TestADayIsAccountedFor(t *testing.T) {
+func TestSummaryAssignsOneCauseToEachRequest(t *testing.T) {
 	g := NewWithT(t)
 	log := &Log{}
-	g.Expect(log.Read(strings.NewReader(dayLog))).To(Succeed())
-	d := log.Summarize(2 * time.Second)
-	g.Expect([]int{d.Requests, d.InTime}).To(Equal([]int{9, 1}))
+	g.Expect(log.Read(strings.NewReader(sampleLog))).To(Succeed())
+	summary := log.Summarize(2 * time.Second)
+	g.Expect([]int{summary.Requests, summary.InTime}).To(Equal([]int{9, 1}))
 	sum := 0
 	byName := map[string]int{}
-	for _, c := range d.Causes {
+	for _, c := range summary.Causes {
 		sum += c.Requests
 		name, _, _ := strings.Cut(c.Name, ": ")
 		if name == "late" {
@@ -38,16 +38,16 @@
 		}
 		byName[name] += c.Requests
 	}
-	g.Expect(sum).To(Equal(d.Requests-d.InTime), "each has exactly one cause")
+	g.Expect(sum).To(Equal(summary.Requests-summary.InTime), "every request not in time has exactly one cause")
 	g.Expect(byName).To(Equal(map[string]int{
-		"late: a pause between two events": 1, "late: a sending failed before": 1, "late: no server had the model yet": 1, "late: others waited at the server": 1,
-		"late: the server took longer than reckoned": 1, "the server's own failure": 1, "overloaded": 1, "not-current": 1,
+		"late: a gap between two events": 1, "late: an earlier attempt failed": 1, "late: no server had the model ready": 1, "late: queued behind other requests at the server": 1,
+		"late: the server took longer than estimated": 1, "the server returned an error": 1, "overloaded": 1, "not-current": 1,
 	}))
-	g.Expect(d.Windows).To(HaveLen(2))
-	g.Expect(d.Windows[0].InTime).To(Equal(0), "the worst first")
-	g.Expect(d.Windows[0].From.Second()).To(Equal(2), "by when the requests came")
-	g.Expect(d.Servers[0]).To(Equal(Count{"s2", 4}))
+	g.Expect(summary.Windows).To(HaveLen(2))
+	g.Expect(summary.Windows[0].InTime).To(Equal(0), "the worst window first")
+	g.Expect(summary.Windows[0].From.Second()).To(Equal(2), "by arrival time of the requests")
+	g.Expect(summary.Servers[0]).To(Equal(Count{"s2", 4}))
 	var out bytes.Buffer
-	d.Print(&out)
+	summary.Print(&out)
 	g.Expect(out.String()).To(HavePrefix("9 requests, 1 in time (0.111)\n"))
 }
--- a/story/timeline.go
+++ b/story/timeline.go
@@ -1,14 +1,17 @@
-// Package story tells what became of one request from the log lines of many boxes.
+// Package story reconstructs from the log lines of many boxes what happened to one
+// request, and summarizes why requests were not answered in time.
 //
 // Rules:
 //
-//  1. A line counts from its first brace; what stands before it (a box's name, the time
-//     of a collector) is passed over. Lines that are no log lines are counted only.
-//  2. The request's own lines come first: those that carry its id.
-//  3. Beside them stand the lines of what decided it: of its server and its model from
-//     some seconds before it came until its end, and changes of the leader.
-//     So do the lines on servers that ended under it, and on its being kept from servers, however long before.
-//  4. The cause is the outcome of its last line, as the table of reasons explains it.
+//  1. A line is parsed from its first brace. Text before it, such as a box name or a
+//     collector's timestamp, is ignored. Lines that are not log lines are only counted.
+//  2. The lines of a request are those that carry its id.
+//  3. They are shown with the lines that affected the request: those of its server and its
+//     model, from some seconds before its last line up to that line, and changes of the
+//     leader in that time. Lines about servers that terminated while they processed the
+//     request, and about the request being blocked, are included regardless of their age.
+//  4. The cause is the outcome in the last line of the request, as the table of reasons
+//     explains it.
 package story
 
 import (
@@ -31,11 +34,11 @@
 var Error = errs.Class("story")
 
 const (
-	// before is how long before the request's last line other lines count (3).
-	before = 10 * time.Second
-	// longestLine bounds a line, in bytes.
-	longestLine = 1 << 20
-	// callerGone is the outcome of a request whose caller left.
+	// lookback is how long before the request's last line other lines are included (3).
+	lookback = 10 * time.Second
+	// maxLineBytes bounds the length of a line.
+	maxLineBytes = 1 << 20
+	// callerGone is the outcome of a request whose caller disconnected.
 	callerGone = "caller-gone"
 )
 
@@ -56,16 +59,16 @@
 // Log holds the lines of all boxes.
 type Log struct {
 	Lines []Line
-	// Skipped counts lines that are none of ours (1).
+	// Skipped counts the lines that are not log lines of a box (1).
 	Skipped int
 }
 
 // Read adds the lines of a file.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), longestLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Bytes())
+		line, ok := parseLine(scanner.Bytes())
 		if !ok {
 			l.Skipped++
 			continue
@@ -75,8 +78,8 @@
 	return Error.Wrap(scanner.Err())
 }
 
-// parse is rule 1.
-func parse(text []byte) (Line, bool) {
+// parseLine parses a log line from its first brace. It returns false for other lines (1).
+func parseLine(text []byte) (Line, bool) {
 	i := bytes.IndexByte(text, '{')
 	if i < 0 {
 		return Line{}, false
@@ -95,7 +98,7 @@
 	return line, err == nil && line.Event != ""
 }
 
-// Timeline is what is known of a request.
+// Timeline holds the log lines of a request, the related lines, and the outcome.
 type Timeline struct {
 	Request string `json:"request"`
 	Outcome string `json:"outcome"`
@@ -103,40 +106,41 @@
 	Lines   []Line `json:"lines"`
 }
 
-// Timeline returns a request's story. The error says which boxes' logs were looked at.
+// Timeline returns the timeline of a request. The error lists the boxes whose logs were searched.
 func (l *Log) Timeline(request string) (*Timeline, error) {
-	s := &Timeline{Request: request}
+	tl := &Timeline{Request: request}
 	for _, line := range l.Lines {
 		if line.field("request") == request { // (2)
-			s.Lines = append(s.Lines, line)
+			tl.Lines = append(tl.Lines, line)
 		}
 	}
-	if len(s.Lines) == 0 {
-		return nil, Error.New("no line names request %s; there are lines of %s, and %d that are none of ours. Answered requests have lines at the level debug only", request, l.boxes(), l.Skipped)
+	if len(tl.Lines) == 0 {
+		return nil, Error.New("no line with request %s; searched lines of %s, skipped %d that are not log lines. Answered requests are only logged at level debug", request, l.boxes(), l.Skipped)
 	}
-	slices.SortStableFunc(s.Lines, byTime)
-	last := s.Lines[len(s.Lines)-1]
-	s.Outcome = last.field("outcome")
-	s.Cause = cause(&last)
-	prints := map[string]bool{}
-	for _, line := range s.Lines {
-		prints[line.field("print")] = true
+	slices.SortStableFunc(tl.Lines, byTime)
+	last := tl.Lines[len(tl.Lines)-1]
+	tl.Outcome = last.field("outcome")
+	tl.Cause = describeOutcome(&last)
+	fingerprints := map[string]bool{}
+	for _, line := range tl.Lines {
+		fingerprints[line.field("print")] = true
 	}
-	delete(prints, "")
+	delete(fingerprints, "")
 	for _, line := range l.Lines {
-		if decided(&line, &last) || aboutPrint(&line, prints) {
-			s.Lines = append(s.Lines, line)
+		if isRelevant(&line, &last) || isAboutFingerprint(&line, fingerprints) {
+			tl.Lines = append(tl.Lines, line)
 		}
 	}
-	slices.SortStableFunc(s.Lines, byTime)
-	return s, nil
+	slices.SortStableFunc(tl.Lines, byTime)
+	return tl, nil
 }
 
 func byTime(a, b Line) int { return a.Time.Compare(b.Time) }
 
-// decided is rule 3.
-func decided(line, last *Line) bool {
-	if line.field("request") != "" || line.Time.After(last.Time) || line.Time.Before(last.Time.Add(-before)) {
+// isRelevant reports whether a line of the lookback period is about the server or the model of the request's last line, or
+// about a change of the leader (3).
+func isRelevant(line, last *Line) bool {
+	if line.field("request") != "" || line.Time.After(last.Time) || line.Time.Before(last.Time.Add(-lookback)) {
 		return false
 	}
 	if line.Event == event.LeadershipChanged.Code {
@@ -148,45 +152,46 @@
 		model != "" && strings.Contains(order, " "+model+"@") || model != "" && strings.Contains(order, " "+model+"/")
 }
 
-// aboutPrint reports whether a line is on servers that ended under a request, or on its being held for that.
-func aboutPrint(line *Line, prints map[string]bool) bool {
+// isAboutFingerprint reports whether a line is about servers that terminated while they processed a request with one of
+// the fingerprints, or about such a request being blocked (3).
+func isAboutFingerprint(line *Line, fingerprints map[string]bool) bool {
 	switch line.Event {
 	case event.CrasherBlocked.Code, event.CrasherReleased.Code:
-		return prints[line.field("print")]
+		return fingerprints[line.field("print")]
 	case event.CrashDetected.Code:
-		return line.lists("prints", prints) || line.lists("weak", prints)
+		return line.listContains("prints", fingerprints) || line.listContains("weak", fingerprints)
 	}
 	return false
 }
 
-// lists reports whether a field lists one of some values.
-func (l *Line) lists(name string, values map[string]bool) bool {
+// listContains reports whether a list field contains one of the values.
+func (l *Line) listContains(name string, values map[string]bool) bool {
 	list, _ := l.Data[name].([]any)
 	return slices.ContainsFunc(list, func(v any) bool { s, _ := v.(string); return values[s] })
 }
 
-// cause is rule 4.
-func cause(last *Line) string {
+// describeOutcome explains the outcome in the last line of a request (4).
+func describeOutcome(last *Line) string {
 	outcome := last.field("outcome")
 	why := reason.ByCode(outcome)
 	switch {
 	case last.Event == event.RequestDone.Code:
-		return "it was answered"
+		return "The request was answered."
 	case last.Event == event.RequestRetried.Code:
-		return "it was sent again, and no line tells of its end: then it was answered, or its box ended"
+		return "The request was retried. No line logs its end, so it was answered or its box terminated."
 	case outcome == callerGone:
-		return "its caller left before the answer was whole"
+		return "The caller disconnected before the response was complete."
 	case why == nil:
-		return "the outcome " + outcome + " is not in the table of reasons"
+		return "The outcome " + outcome + " is not in the table of reasons."
 	}
 	text := why.Title
-	if before := reason.ByCode(last.field("last")); before != nil && before != why {
-		text += " Its last sending: " + before.Title
+	if previous := reason.ByCode(last.field("last")); previous != nil && previous != why {
+		text += " Last attempt: " + previous.Title
 	}
 	return text
 }
 
-// boxes lists the boxes with the span of their lines.
+// boxes lists the boxes, each with the time range of its lines.
 func (l *Log) boxes() string {
 	first, last := map[string]time.Time{}, map[string]time.Time{}
 	for _, line := range l.Lines {
@@ -208,19 +213,19 @@
 	return strings.Join(list, ", ")
 }
 
-// Print writes the story for people.
-func (s *Timeline) Print(w io.Writer) {
-	fmt.Fprintf(w, "request %s: %s\n%s\n\n", s.Request, s.Outcome, s.Cause)
-	for _, line := range s.Lines {
+// Print writes the timeline as text; the request's own lines are marked with ">".
+func (tl *Timeline) Print(w io.Writer) {
+	fmt.Fprintf(w, "request %s: %s\n%s\n\n", tl.Request, tl.Outcome, tl.Cause)
+	for _, line := range tl.Lines {
 		mark := " "
-		if line.field("request") == s.Request {
+		if line.field("request") == tl.Request {
 			mark = ">"
 		}
 		fmt.Fprintf(w, "%s %s %-16s %-20s %s\n", mark, line.Time.Format("15:04:05.000"), line.Box, line.Event, line.fields())
 	}
 }
 
-// fields writes a line's own fields in a fixed order.
+// fields formats the fields of a line, sorted by name.
 func (l *Line) fields() string {
 	var list []string
 	for name, v := range l.Data {
--- a/story/timeline_test.go
+++ b/story/timeline_test.go
@@ -10,7 +10,7 @@
 	"leverdrum/story"
 )
 
-// lines are of three boxes, one as the users' bench prints it.
+// lines are log lines of three boxes; one has the prefix that the users' benchmark adds.
 const lines = `not a log line
 {"level":"info","ts":"2026-12-02T10:00:01.000Z","msg":"m","box":"b2","hall":"h","leads":true,"term":3,"event":"leadership-changed"}
 {"level":"info","ts":"2026-12-02T09:00:01.000Z","msg":"m","box":"b2","hall":"h","leads":true,"term":2,"event":"leadership-changed"}
@@ -30,41 +30,41 @@
 	return l
 }
 
-func TestAStoryHoldsWhatDecidedTheRequest(t *testing.T) {
+func TestTimelineIncludesRelatedLines(t *testing.T) {
 	g := NewWithT(t)
 	l := read(t)
 	g.Expect(l.Skipped).To(Equal(1))
-	s, err := l.Timeline("r1")
+	tl, err := l.Timeline("r1")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.Outcome).To(Equal("not-resident"))
+	g.Expect(tl.Outcome).To(Equal("not-resident"))
 	var events []string
-	for _, line := range s.Lines {
+	for _, line := range tl.Lines {
 		events = append(events, line.Event)
 	}
-	g.Expect(events).To(Equal([]string{"leadership-changed", "order-issued", "server-silent", "request-failed"}), "in time, of its model and server only")
-	g.Expect(s.Cause).To(ContainSubstring("Its last sending:"))
+	g.Expect(events).To(Equal([]string{"leadership-changed", "order-issued", "server-silent", "request-failed"}), "only lines of its model and server, ordered by time")
+	g.Expect(tl.Cause).To(ContainSubstring("Last attempt:"))
 	var out bytes.Buffer
-	s.Print(&out)
+	tl.Print(&out)
 	g.Expect(out.String()).To(ContainSubstring("> 10:00:03.000 b1"))
 }
 
-func TestACallerThatLeft(t *testing.T) {
+func TestTimelineOfDisconnectedCaller(t *testing.T) {
 	g := NewWithT(t)
 	s, err := read(t).Timeline("r2")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.Cause).To(ContainSubstring("caller left"))
+	g.Expect(s.Cause).To(ContainSubstring("caller disconnected"))
 }
 
-func TestARequestThatWasSentAgainAndAnswered(t *testing.T) {
+func TestTimelineOfRetriedRequest(t *testing.T) {
 	g := NewWithT(t)
 	s, err := read(t).Timeline("r4")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.Cause).To(ContainSubstring("sent again"))
+	g.Expect(s.Cause).To(ContainSubstring("was retried"))
 }
 
-func TestAnUnknownRequestNamesTheBoxesThatHadLogs(t *testing.T) {
+func TestUnknownRequestErrorListsBoxes(t *testing.T) {
 	_, err := read(t).Timeline("r3")
-	NewWithT(t).Expect(err).To(MatchError(And(ContainSubstring("b1 (10:00:03 to 10:00:03)"), ContainSubstring("1 that are none of ours"))))
+	NewWithT(t).Expect(err).To(MatchError(And(ContainSubstring("b1 (10:00:03 to 10:00:03)"), ContainSubstring("skipped 1 that are not log lines"))))
 }
 
 func FuzzRead(f *testing.F) {
@@ -73,18 +73,19 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		l := &story.Log{}
 		if l.Read(bytes.NewReader(data)) != nil {
-			return // a line longer than the bound
+			return // a line exceeds the length limit
 		}
 		for _, line := range l.Lines {
 			if line.Event == "" || line.Time.IsZero() {
-				t.Fatalf("%+v is no log line", line)
+				t.Fatalf("%+v is not a log line", line)
 			}
 		}
 	})
 }
 
-// A request that is refused since servers ended under it: the ends that decided are minutes old, and other boxes' lines.
-func TestAHeldRequestNamesTheEndsThatDecided(t *testing.T) {
+// A request is blocked because servers terminated while they processed it. The crash lines that led to this are minutes old
+// and come from other boxes.
+func TestTimelineOfBlockedRequestIncludesCrashes(t *testing.T) {
 	g := NewWithT(t)
 	l := &story.Log{}
 	g.Expect(l.Read(strings.NewReader(`{"ts":"2026-12-02T10:00:01Z","msg":"m","box":"b1","server":"s1","prints":["aa","bb"],"weak":[],"event":"crash-seen"}
@@ -94,12 +95,12 @@
 {"ts":"2026-12-02T10:00:03Z","msg":"m","box":"b3","print":"bb","servers":["s1","s2"],"event":"crasher-held"}
 {"ts":"2026-12-02T10:09:00Z","msg":"m","box":"b4","request":"r1","outcome":"crashes-servers","print":"aa","sends":0,"event":"request-failed"}
 `))).To(Succeed())
-	s, err := l.Timeline("r1")
+	tl, err := l.Timeline("r1")
 	g.Expect(err).NotTo(HaveOccurred())
-	var told []string
-	for _, line := range s.Lines {
-		told = append(told, line.Box+" "+line.Event)
+	var events []string
+	for _, line := range tl.Lines {
+		events = append(events, line.Box+" "+line.Event)
 	}
-	g.Expect(told).To(Equal([]string{"b1 crash-seen", "b2 crash-seen", "b3 crasher-held", "b4 request-failed"}))
-	g.Expect(s.Cause).To(ContainSubstring("Backend servers ended"))
+	g.Expect(events).To(Equal([]string{"b1 crash-seen", "b2 crash-seen", "b3 crasher-held", "b4 request-failed"}))
+	g.Expect(tl.Cause).To(ContainSubstring("Backend servers ended"))
 }
