--- a/admin/admin.go
+++ b/admin/admin.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// BlockedRow is a request that is blocked on servers of a software version, because servers terminated while they
+// BlockedRow is a request that is not sent to servers of a software version, because servers terminated while they
 // processed it.
 type BlockedRow struct {
 	Fingerprint string    `json:"print"`
@@ -245,11 +245,11 @@
 	Level        level.Level `json:"level"`
 	LevelBlocker string      `json:"level_waits,omitempty"`
 	Moves        uint64      `json:"moves"`
-	// Blocked lists the requests that are blocked on servers because servers terminated while they processed them.
+	// Blocked lists the requests that are not sent to some servers because servers terminated while they processed them.
 	Blocked []BlockedRow `json:"held,omitempty"`
 	// Limits lists the backend servers that limit their request rate.
 	Limits []LimitRow `json:"limits,omitempty"`
-	// Evacuations lists the data halls whose backend servers receive no requests, orders or copies.
+	// Evacuations lists the data halls whose backend servers receive nothing.
 	Evacuations []EvacuationRow `json:"evacuations,omitempty"`
 	// AnsweredBy is the box that answered the call. ServerStatuses holds the backoff or draining that backend
 	// servers reported to this box.
