--- a/cmd/leverdrum/main.go
+++ b/cmd/leverdrum/main.go
@@ -1,4 +1,4 @@
-// Command leverdrum is the operators' command.
+// Command leverdrum is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs the stand-ins of the systems around leverdrum.
+// Command standin runs simulations of the systems around leverdrum, for tests.
 package main
 
 import (
