--- a/bench/affinity_test.go
+++ b/bench/affinity_test.go
@@ -15,26 +15,27 @@
 	"leverdrum/wire"
 )
 
-// A session has five turns; each sends all that was said before. A prompt of
-// 4,000 bytes that no server keeps takes 80 ms to read, an answer 40 ms.
+// A session has five turns; each turn sends the whole conversation so far. The
+// prefill of an uncached prompt of 4,000 bytes takes 80 ms, an answer 40 ms.
 const (
-	sessionTurns  = 5
-	systemBytes   = 1500
-	turnBytes     = 500
-	prefillByte   = 20 * time.Microsecond
-	keptMessages  = 400
-	affinityFor   = 4 * time.Second
-	sessionDue    = 250 * time.Millisecond
-	turnPause     = 150 * time.Millisecond
-	affinityBoxes = 2
+	sessionTurns     = 5
+	systemBytes      = 1500
+	turnBytes        = 500
+	prefillPerByte   = 20 * time.Microsecond
+	cachedPrefixes   = 400
+	affinityDuration = 4 * time.Second
+	sessionDeadline  = 250 * time.Millisecond
+	turnPause        = 150 * time.Millisecond
+	affinityBoxes    = 2
 )
 
-// affinityBed is two entry boxes before four servers that keep prefixes.
-func affinityBed(t testing.TB, slack float64) []string {
-	text := fmt.Sprintf("[fleet]\nnumber = 1\naffinity-slack = %g\n[hall a]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\nconcurrency = %d\n", slack, loadPlaces)
+// newAffinityBoxes starts two entry boxes in front of four servers that cache prompt prefixes, and returns the addresses
+// of the boxes.
+func newAffinityBoxes(t testing.TB, slack float64) []string {
+	text := fmt.Sprintf("[fleet]\nnumber = 1\naffinity-slack = %g\n[hall a]\n[class c]\ndeadline = 1s\n[kind k]\nmemory = 1GiB\nconcurrency = %d\n", slack, serverSlots)
 	for i := range loadServers {
 		e := standin.NewEngine(standin.EngineOptions{
-			Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: loadPlaces, TokenTime: loadToken, PrefillByte: prefillByte, Prefixes: keptMessages,
+			Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: serverSlots, TokenTime: tokenTime, PrefillByte: prefillPerByte, Prefixes: cachedPrefixes,
 		})
 		e.Hold(0, "m", "", "1", 1)
 		text += fmt.Sprintf("[server s%d]\naddress = %s\nhall = a\nkind = k\n", i, serve(t, e))
@@ -53,14 +54,14 @@
 	return boxes
 }
 
-// converse runs one session and returns how long each turn took, a second for
-// one that was refused.
-func converse(client *http.Client, boxes []string, id int) []time.Duration {
+// runSession runs one session and returns the duration of each turn. A failed
+// turn counts as one second.
+func runSession(client *http.Client, boxes []string, id int) []time.Duration {
 	messages := []standin.Message{{Role: "system", Content: strings.Repeat("s", systemBytes)}}
-	var took []time.Duration
+	var durations []time.Duration
 	for turn := range sessionTurns {
 		messages = append(messages, standin.Message{Role: "user", Content: fmt.Sprintf("%d/%d %s", id, turn, strings.Repeat("u", turnBytes))})
-		body, err := json.Marshal(map[string]any{"model": "m", "max_tokens": loadTokens, "messages": messages})
+		body, err := json.Marshal(map[string]any{"model": "m", "max_tokens": tokensPerRequest, "messages": messages})
 		if err != nil {
 			panic(err)
 		}
@@ -70,24 +71,24 @@
 			resp.Body.Close()
 		}
 		if err != nil || resp.StatusCode != http.StatusOK {
-			took = append(took, time.Second)
+			durations = append(durations, time.Second)
 		} else {
-			took = append(took, time.Since(began))
+			durations = append(durations, time.Since(began))
 		}
 		messages = append(messages, standin.Message{Role: "assistant", Content: strings.Repeat("a", turnBytes)})
 		time.Sleep(turnPause)
 	}
-	return took
+	return durations
 }
 
-// BenchmarkAffinity compares least-loaded choice (slack 0) with affinity that
-// yields to load, at several sessions a second.
+// BenchmarkAffinity compares least-loaded routing (slack 0) with session
+// affinity limited by load, at several session rates.
 func BenchmarkAffinity(b *testing.B) {
 	for _, perSecond := range []float64{20, 40, 52} {
 		for _, slack := range []float64{0, 0.1, 0.25, 0.5, 1} {
 			b.Run(fmt.Sprintf("sessions=%g/slack=%g", perSecond, slack), func(b *testing.B) {
 				for b.Loop() {
-					inTime, mean := sessionsAt(affinityBed(b, slack), perSecond)
+					inTime, mean := runSessions(newAffinityBoxes(b, slack), perSecond)
 					b.ReportMetric(inTime, "in-time")
 					b.ReportMetric(mean, "ms")
 				}
@@ -96,31 +97,31 @@
 	}
 }
 
-func sessionsAt(boxes []string, perSecond float64) (inTime, meanMs float64) {
+func runSessions(boxes []string, perSecond float64) (inTime, meanMs float64) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	defer client.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(5, 3))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var sum time.Duration
-	count, good := 0, 0
+	count, inTimeCount := 0, 0
 	next := time.Now()
-	for id := 0; float64(id) < perSecond*affinityFor.Seconds(); id++ {
+	for id := 0; float64(id) < perSecond*affinityDuration.Seconds(); id++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		time.Sleep(time.Until(next))
 		wg.Go(func() {
-			took := converse(client, boxes, id)
+			durations := runSession(client, boxes, id)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, d := range took {
+			for _, d := range durations {
 				sum += d
 				count++
-				if d <= sessionDue {
-					good++
+				if d <= sessionDeadline {
+					inTimeCount++
 				}
 			}
 		})
 	}
 	wg.Wait()
-	return float64(good) / float64(count), float64(sum.Milliseconds()) / float64(count)
+	return float64(inTimeCount) / float64(count), float64(sum.Milliseconds()) / float64(count)
 }
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -1,5 +1,5 @@
-// Package bench measures what a box costs, as ratios and counts, and fails when
-// a figure leaves its bound.
+// Package bench benchmarks the overhead of a box, as ratios and counts, and fails
+// if a result exceeds its bound.
 package bench
 
 import (
@@ -26,34 +26,34 @@
 	"leverdrum/wire"
 )
 
-// The bounds. Ratios are of two measurements in the same run.
+// Bounds of the benchmarks. Each ratio compares two measurements of the same run.
 const (
-	// leastSmall and leastStream are requests a second through an entry box over
-	// direct to the server.
-	leastSmall  = 0.2
-	leastStream = 0.45
-	// mostAllocs is the allocations of one small request in the entry box,
-	// those of net/http on both sides included.
-	mostAllocs = 170
+	// minSmallRatio and minStreamRatio bound the request rate through an entry box, relative
+	// to the rate of direct requests to the server.
+	minSmallRatio  = 0.2
+	minStreamRatio = 0.45
+	// maxAllocs bounds the allocations of one small request in the entry box,
+	// including those of net/http on both sides.
+	maxAllocs = 170
 )
 
 const (
-	clients  = 32
-	duration = 1500 * time.Millisecond
+	clientCount     = 32
+	measureDuration = 1500 * time.Millisecond
 )
 
-// bed is an entry box before one model server, without the agreement.
-type bed struct {
+// testbed is an entry box in front of one model server, without consensus.
+type testbed struct {
 	direct, through string
 }
 
 func serve(t testing.TB, h http.Handler) string {
-	address, _ := serveUntil(t, h)
+	address, _ := serveStoppable(t, h)
 	return address
 }
 
-// serveUntil serves until stop is called or the test ends.
-func serveUntil(t testing.TB, h http.Handler) (address string, stop func()) {
+// serveStoppable starts a server that runs until stop is called or the test ends.
+func serveStoppable(t testing.TB, h http.Handler) (address string, stop func()) {
 	s := httptest.NewServer(h)
 	var once sync.Once
 	stop = func() {
@@ -66,16 +66,16 @@
 	return s.Listener.Addr().String(), stop
 }
 
-// newBed loads one model on one stand-in by hand.
-func newBed(t testing.TB) *bed {
+// newTestbed starts a simulated model server with one loaded model, and an entry box in front of it.
+func newTestbed(t testing.TB) *testbed {
 	e := standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 40, ChecksFences: true, Concurrency: 1024})
 	address := serve(t, e)
-	st := oneModel(t, address)
+	st := newSingleModelState(t, address)
 	e.Hold(0, "m", "", "1", 1)
-	return &bed{direct: address, through: serveEntry(t, st)}
+	return &testbed{direct: address, through: serveEntry(t, st)}
 }
 
-// serveEntry serves an entry box before the backend servers of an agreed state.
+// serveEntry starts an entry box in front of the backend servers of a replicated state.
 func serveEntry(t testing.TB, st *state.State) string {
 	d := route.NewDirectory("a")
 	d.Update(st)
@@ -85,7 +85,7 @@
 	}))
 }
 
-func oneModel(t testing.TB, address string) *state.State {
+func newSingleModelState(t testing.TB, address string) *state.State {
 	st, err := standin.Agreed(fmt.Sprintf("[fleet]\nnumber = 1\n[hall a]\n[class c]\ndeadline = 30s\n[kind k]\nmemory = 1GiB\nconcurrency = 1024\n[server s]\naddress = %s\nhall = a\nkind = k\n[model m]\nversion = 1\nmemory = 1B\nclass = c\n", address))
 	if err != nil {
 		t.Fatal(err)
@@ -94,14 +94,14 @@
 	return st
 }
 
-// load runs clients against an address for a time and returns answers a second.
-func load(t testing.TB, address, body string, lasts time.Duration) float64 {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients, DialContext: (&net.Dialer{}).DialContext}}
+// measureRate runs clients against an address for a duration and returns the responses per second.
+func measureRate(t testing.TB, address, body string, duration time.Duration) float64 {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientCount, DialContext: (&net.Dialer{}).DialContext}}
 	defer client.CloseIdleConnections()
 	var done atomic.Int64
 	var wg sync.WaitGroup
-	end := time.Now().Add(lasts)
-	for range clients {
+	end := time.Now().Add(duration)
+	for range clientCount {
 		wg.Go(func() {
 			for time.Now().Before(end) {
 				resp, err := client.Post("http://"+address+engine.ChatPath, "application/json", strings.NewReader(body))
@@ -120,59 +120,59 @@
 		})
 	}
 	wg.Wait()
-	return float64(done.Load()) / lasts.Seconds()
+	return float64(done.Load()) / duration.Seconds()
 }
 
 const (
-	small  = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
-	stream = `{"model":"m","stream":true,"max_tokens":200}`
+	smallRequest  = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
+	streamRequest = `{"model":"m","stream":true,"max_tokens":200}`
 )
 
-// turns is in how many parts both ways are measured by turns, so that whatever else the
-// machine does is beside both alike.
-const turns = 10
+// interleavings is the number of alternating periods in which direct and proxied requests are measured, so that other
+// load on the machine affects both alike.
+const interleavings = 10
 
-func ratio(b *testing.B, body string, least float64) {
-	bed := newBed(b)
+func benchmarkRatio(b *testing.B, body string, minRatio float64) {
+	bed := newTestbed(b)
 	for b.Loop() {
-		load(b, bed.through, body, duration) // warm
+		measureRate(b, bed.through, body, measureDuration) // warm-up
 		direct, through := 0.0, 0.0
-		for range turns {
-			direct += load(b, bed.direct, body, duration/turns) / turns
-			through += load(b, bed.through, body, duration/turns) / turns
+		for range interleavings {
+			direct += measureRate(b, bed.direct, body, measureDuration/interleavings) / interleavings
+			through += measureRate(b, bed.through, body, measureDuration/interleavings) / interleavings
 		}
 		b.ReportMetric(direct, "direct/s")
 		b.ReportMetric(through, "through/s")
 		b.ReportMetric(through/direct, "ratio")
-		if through/direct < least {
-			b.Errorf("%.2f of the direct rate, at least %.2f is wanted", through/direct, least)
+		if through/direct < minRatio {
+			b.Errorf("rate is %.2f of the direct rate, want at least %.2f", through/direct, minRatio)
 		}
 	}
 }
 
-func BenchmarkSmallAnswers(b *testing.B) { ratio(b, small, leastSmall) }
+func BenchmarkSmallAnswers(b *testing.B) { benchmarkRatio(b, smallRequest, minSmallRatio) }
 
-func BenchmarkStreams(b *testing.B) { ratio(b, stream, leastStream) }
+func BenchmarkStreams(b *testing.B) { benchmarkRatio(b, streamRequest, minStreamRatio) }
 
-// BenchmarkAllocations counts what one small request allocates in this process,
-// and takes off what it allocates without the entry box.
+// BenchmarkAllocations counts the allocations of one small request in this process,
+// minus those of a request without the entry box.
 func BenchmarkAllocations(b *testing.B) {
-	bed := newBed(b)
+	bed := newTestbed(b)
 	for b.Loop() {
-		through := allocations(b, bed.through) - allocations(b, bed.direct)
+		through := allocsPerRequest(b, bed.through) - allocsPerRequest(b, bed.direct)
 		b.ReportMetric(through, "allocs/request")
-		if through > mostAllocs {
-			b.Errorf("%.0f allocations a request, at most %d are wanted", through, mostAllocs)
+		if through > maxAllocs {
+			b.Errorf("%.0f allocations per request, want at most %d", through, maxAllocs)
 		}
 	}
 }
 
-func allocations(t testing.TB, address string) float64 {
+func allocsPerRequest(t testing.TB, address string) float64 {
 	const requests = 2000
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range requests {
-		resp, err := http.Post("http://"+address+engine.ChatPath, "application/json", strings.NewReader(small))
+		resp, err := http.Post("http://"+address+engine.ChatPath, "application/json", strings.NewReader(smallRequest))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/bench/day_test.go
+++ b/bench/day_test.go
@@ -18,30 +18,30 @@
 	"leverdrum/wire"
 )
 
-// A day is replayed in steps against the real decisions and the real ledger;
-// servers and requests are sums only. What a server cannot do of the work that
-// the copies on it get is not answered in time.
+// A day is replayed in steps against the real placement decisions and the real
+// ledger; servers and requests are only modeled as sums. Work for the copies on a
+// server that exceeds the server's capacity counts as not answered in time.
 const (
-	dayStep   = 30 * time.Second
-	daySteps  = int(24 * time.Hour / dayStep)
-	loadSteps = 1 // a load or unload takes a step
-	// serviceTime is how long one request keeps a place.
+	dayStep    = 30 * time.Second
+	daySteps   = int(24 * time.Hour / dayStep)
+	orderSteps = 1 // duration of a load or unload
+	// serviceTime is how long one request occupies a slot.
 	serviceTime = 2 * time.Second
-	// peakUse is the mean use of all places, were the demand's peaks all at once.
-	meanUse = 0.45
-	// warmSteps are left out of the account: the first placement takes its time.
-	warmSteps = 20
+	// meanUtilization is the day's average demand as a fraction of the capacity of all slots.
+	meanUtilization = 0.45
+	// warmupSteps are excluded from the result, since the first placement takes time.
+	warmupSteps = 20
 )
 
-// day is the demand of one fleet over a day, and what fails.
+// day is the demand on one fleet over a day, and the failures of its servers.
 type day struct {
 	models []string
-	rates  [][]float64 // requests a second, by step and model
+	rates  [][]float64 // requests per second, by step and model
 	down   func(step int, server, hall string) bool
 }
 
-// newDay draws a day: each model's demand follows the sun from its own place on
-// the globe, and some models have an hour of ten times the demand.
+// newDay generates a random day: the demand of each model follows daylight in one of
+// three regions, and some models have a surge to ten times their demand.
 func newDay(st *state.State, seed uint64) *day {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	d := &day{}
@@ -60,16 +60,16 @@
 		}
 	}
 	hour := float64(time.Hour / dayStep)
-	places := 0.0
+	slots := 0.0
 	for _, s := range st.Fleet.Servers {
-		places += float64(s.Kind.Concurrency)
+		slots += float64(s.Kind.Concurrency)
 	}
 	sum := 0.0
 	for step := range daySteps {
 		row := make([]float64, len(d.models))
 		for i := range d.models {
-			sun := math.Sin((float64(step)/hour - phase[i] - 6) / 24 * 2 * math.Pi)
-			row[i] = weight[i] * (0.1 + max(0, sun))
+			daylight := math.Sin((float64(step)/hour - phase[i] - 6) / 24 * 2 * math.Pi)
+			row[i] = weight[i] * (0.1 + max(0, daylight))
 			if surge[i] >= 0 {
 				row[i] *= surgeAt(float64(step-surge[i]) / hour)
 			}
@@ -77,7 +77,7 @@
 		}
 		d.rates = append(d.rates, row)
 	}
-	scale := meanUse * places / serviceTime.Seconds() / (sum / float64(daySteps))
+	scale := meanUtilization * slots / serviceTime.Seconds() / (sum / float64(daySteps))
 	for _, row := range d.rates {
 		for i := range row {
 			row[i] *= scale
@@ -87,8 +87,8 @@
 	return d
 }
 
-// surgeAt is the factor of a surge so many hours after it began: tenfold within
-// an hour, and back within another.
+// surgeAt returns the demand factor of a surge, by the hours since its start: it
+// grows tenfold within one hour and declines within another.
 func surgeAt(hours float64) float64 {
 	switch {
 	case hours < 0 || hours > 2:
@@ -99,7 +99,7 @@
 	return math.Pow(10, 2-hours)
 }
 
-// failures takes three servers away for an hour each, and one hall for half an
+// failures takes three servers down for one hour each, and one hall for half an
 // hour.
 func failures(st *state.State) func(step int, server, hall string) bool {
 	servers := st.Fleet.SortedServers()
@@ -114,7 +114,7 @@
 	}
 }
 
-// mean returns the day's average demand.
+// mean returns the average demand of each model over the day.
 func (d *day) mean() []float64 {
 	sum := make([]float64, len(d.models))
 	for _, row := range d.rates {
@@ -133,42 +133,42 @@
 	return m
 }
 
-// outcome is what a policy reached over a day.
+// outcome is the result of a placement policy over a day.
 type outcome struct {
 	offered, attained float64
 	moves             uint64
-	unreachable       int // model-steps without a copy on a server that works
+	unreachable       int // model-steps without a copy on a working server
 }
 
 func (o outcome) attainment() float64 { return o.attained / o.offered }
 
-// replay runs a policy through the day. The policy sees the demand of the step
-// before. The frozen policy only brings back what was lost.
+// replay runs a policy through the day. The policy sees the demand of the previous
+// step. The frozen policy only restores lost copies.
 func replay(t testing.TB, text string, d *day, weight float64, frozen bool) outcome {
 	st, err := standin.Agreed(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	st.Fleet.MoveWeight = weight
-	settleFirst(t, st, d)
+	placeInitial(t, st, d)
 	var o outcome
 	before := st.Moves
 	due := map[uint64]int{}
 	wasDown := map[string]bool{}
 	for step := range daySteps {
-		closeDue(st, due, step)
-		down := notice(st, d, step, wasDown)
-		seen := d.rates[max(0, step-1)]
-		in := placement.Input{State: st, Demand: d.demand(seen), Down: down, LeaderFor: time.Hour}
+		closeDueOrders(st, due, step)
+		down := observeFailures(st, d, step, wasDown)
+		lastRates := d.rates[max(0, step-1)]
+		in := placement.Input{State: st, Demand: d.demand(lastRates), Down: down, LeaderFor: time.Hour}
 		if frozen {
-			in.LeaderFor = 0 // moves nothing for demand's sake
+			in.LeaderFor = 0 // disables moves that follow demand
 		}
 		for _, dec := range placement.Decide(in).Decisions {
 			if r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}}); r.Err == nil {
-				due[r.Order.Id] = step + loadSteps
+				due[r.Order.Id] = step + orderSteps
 			}
 		}
-		if step >= warmSteps {
+		if step >= warmupSteps {
 			o.add(st, d, step, down)
 		}
 	}
@@ -176,9 +176,9 @@
 	return o
 }
 
-// settleFirst lets the first placement be made for the day's average demand,
-// which the baseline then keeps.
-func settleFirst(t testing.TB, st *state.State, d *day) {
+// placeInitial makes the initial placement for the day's average demand. The
+// static baseline keeps it.
+func placeInitial(t testing.TB, st *state.State, d *day) {
 	weight := st.Fleet.MoveWeight
 	st.Fleet.MoveWeight = min(weight, 1)
 	for range 1000 {
@@ -195,14 +195,14 @@
 			closeOrder(st, r.Order.Id)
 		}
 	}
-	t.Fatal("the first placement does not come to rest")
+	t.Fatal("the initial placement does not converge")
 }
 
 func closeOrder(st *state.State, id uint64) {
 	standin.Agree(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 }
 
-func closeDue(st *state.State, due map[uint64]int, step int) {
+func closeDueOrders(st *state.State, due map[uint64]int, step int) {
 	for id, at := range due {
 		if step >= at {
 			closeOrder(st, id)
@@ -211,8 +211,9 @@
 	}
 }
 
-// notice returns who is down. A server that comes back has lost everything.
-func notice(st *state.State, d *day, step int, wasDown map[string]bool) map[string]bool {
+// observeFailures returns the servers that are down. A recovered server starts a new incarnation and has lost all
+// copies.
+func observeFailures(st *state.State, d *day, step int, wasDown map[string]bool) map[string]bool {
 	down := map[string]bool{}
 	for name, s := range st.Fleet.Servers {
 		if d.down(step, name, s.Hall) {
@@ -229,8 +230,8 @@
 	return down
 }
 
-// add counts one step: each model's requests go to its copies so that their
-// servers are used alike, as far as they can be.
+// add accounts for one step: the requests of each model are distributed over its
+// copies so that the utilization of their servers is as even as possible.
 func (o *outcome) add(st *state.State, d *day, step int, down map[string]bool) {
 	copies := map[string][]string{}
 	for p, r := range st.Residents.All() {
@@ -285,21 +286,21 @@
 	}
 }
 
-// bound is what no placement can exceed: every place could serve every model.
-func bound(st *state.State, d *day) float64 {
+// upperBound returns the attainment that no placement can exceed: that of a fleet in which every slot serves every model.
+func upperBound(st *state.State, d *day) float64 {
 	offered, attained := 0.0, 0.0
-	for step := warmSteps; step < daySteps; step++ {
-		places, wanted := 0.0, 0.0
+	for step := warmupSteps; step < daySteps; step++ {
+		slots, demand := 0.0, 0.0
 		for name, s := range st.Fleet.Servers {
 			if !d.down(step, name, s.Hall) {
-				places += float64(s.Kind.Concurrency)
+				slots += float64(s.Kind.Concurrency)
 			}
 		}
 		for _, r := range d.rates[step] {
-			wanted += r
+			demand += r
 		}
-		offered += wanted
-		attained += min(wanted, places/serviceTime.Seconds())
+		offered += demand
+		attained += min(demand, slots/serviceTime.Seconds())
 	}
 	return attained / offered
 }
@@ -314,9 +315,9 @@
 
 const frozenWeight = 1e18
 
-// BenchmarkDay replays a day of each user and compares the policy with static
-// placement by average demand, with one that follows demand at any price, and
-// with the bound.
+// BenchmarkDay replays a day of each user's fleet and compares the policy with
+// static placement by average demand, with a greedy policy that follows demand
+// at no cost of moves, and with the upper bound.
 func BenchmarkDay(b *testing.B) {
 	for _, user := range []string{"buecherbruecke", "tabua"} {
 		b.Run(user, func(b *testing.B) {
@@ -337,25 +338,25 @@
 				report("ours", ours)
 				report("static", static)
 				report("greedy", greedy)
-				b.ReportMetric(bound(st, d), "bound-attainment")
+				b.ReportMetric(upperBound(st, d), "bound-attainment")
 				b.ReportMetric(float64(ours.unreachable), "unreachable-steps")
 				if ours.attainment() <= static.attainment() {
-					b.Error("the policy must beat static placement")
+					b.Error("the policy must attain more than static placement")
 				}
 				if ours.moves > greedy.moves {
-					b.Error("the policy must move less than one without a price")
+					b.Error("the policy must not move more than the greedy policy")
 				}
 			}
 		})
 	}
 }
 
-// TestDayCurve writes the curve of attainment against moves as day.csv and
-// day.svg into the folder that DAY_OUT names.
+// TestDayCurve writes the curve of attainment against moves to day.csv and
+// day.svg in the folder DAY_OUT.
 func TestDayCurve(t *testing.T) {
 	folder := os.Getenv("DAY_OUT")
 	if folder == "" {
-		t.Skip("DAY_OUT names no folder; make curve does")
+		t.Skip("DAY_OUT is not set; make curve sets it")
 	}
 	var out strings.Builder
 	out.WriteString("user,move-weight,attainment,moves,unreachable-steps\n")
@@ -375,7 +376,7 @@
 			add(strconv.FormatFloat(weight, 'g', -1, 64), replay(t, text, d, weight, false))
 		}
 		add("static", replay(t, text, d, frozenWeight, true))
-		fmt.Fprintf(&out, "%s,bound,%.4f,0,0\n", user, bound(st, d))
+		fmt.Fprintf(&out, "%s,bound,%.4f,0,0\n", user, upperBound(st, d))
 	}
 	if err := os.WriteFile(filepath.Join(folder, "day.csv"), []byte(out.String()), 0o644); err != nil {
 		t.Fatal(err)
--- a/bench/decide_test.go
+++ b/bench/decide_test.go
@@ -12,30 +12,30 @@
 	"leverdrum/state"
 )
 
-// Bounds of one decision at the long-run size. Time is the processor's, the collector's
-// included: by the wall clock it took 1.25 s once, beside two CI runs and a hunt.
+// Bounds of one decision at the long-term fleet size. The time is CPU time, including the
+// garbage collector: the wall-clock time reached 1.25 s beside two CI runs and a fault search.
 const (
-	mostDecide      = time.Second
-	mostDecideBytes = 64 << 20
+	maxDecideTime  = time.Second
+	maxDecideBytes = 64 << 20
 )
 
-// BenchmarkDecide measures one decision for four sizes: from nothing, and with
-// everything placed and the demand of one model grown tenfold.
+// BenchmarkDecide measures one decision for four fleet sizes: with nothing placed, and with
+// everything placed while the demand of one model is 20 times that of the others.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ servers, accelerators, models int }{{20, 1, 40}, {150, 8, 100}, {600, 8, 400}, {1200, 8, 800}} {
 		name := fmt.Sprintf("%dx%d", size.servers, size.models)
 		b.Run(name+"/first", func(b *testing.B) {
-			st := empty(b, size.servers, size.accelerators, size.models)
-			decide(b, placement.Input{State: st, LeaderFor: time.Hour})
+			st := newEmptyState(b, size.servers, size.accelerators, size.models)
+			measureDecide(b, placement.Input{State: st, LeaderFor: time.Hour})
 		})
 		b.Run(name+"/next", func(b *testing.B) {
-			st := placed(b, size.servers, size.accelerators, size.models, 6)
-			decide(b, placement.Input{State: st, LeaderFor: time.Hour, Demand: tenfold(size.models)})
+			st := newPlacedState(b, size.servers, size.accelerators, size.models, 6)
+			measureDecide(b, placement.Input{State: st, LeaderFor: time.Hour, Demand: skewedDemand(size.models)})
 		})
 	}
 }
 
-func empty(t testing.TB, servers, accelerators, models int) *state.State {
+func newEmptyState(t testing.TB, servers, accelerators, models int) *state.State {
 	st, err := standin.Agreed(fleetText(servers, accelerators, models))
 	if err != nil {
 		t.Fatal(err)
@@ -44,8 +44,8 @@
 	return st
 }
 
-// tenfold is an even demand but for one model.
-func tenfold(models int) map[string]placement.Demand {
+// skewedDemand returns an even demand, except for one model with 20 times the requests and busy slots.
+func skewedDemand(models int) map[string]placement.Demand {
 	d := map[string]placement.Demand{}
 	for i := range models {
 		d[fmt.Sprintf("m%d", i)] = placement.Demand{Requests: 5, BusySlots: 10}
@@ -54,26 +54,26 @@
 	return d
 }
 
-func decide(b *testing.B, in placement.Input) {
+func measureDecide(b *testing.B, in placement.Input) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	placement.Decide(in)
 	runtime.ReadMemStats(&after)
-	if used := after.TotalAlloc - before.TotalAlloc; used > mostDecideBytes {
-		b.Errorf("a decision allocates %d bytes, at most %d are wanted", used, mostDecideBytes)
+	if used := after.TotalAlloc - before.TotalAlloc; used > maxDecideBytes {
+		b.Errorf("a decision allocates %d bytes, want at most %d", used, maxDecideBytes)
 	}
 	b.ReportAllocs()
-	began := processorTime(b)
+	began := cpuTime(b)
 	for b.Loop() {
 		placement.Decide(in)
 	}
-	if each := (processorTime(b) - began) / time.Duration(b.N); each > mostDecide {
-		b.Errorf("a decision takes %v, at most %v is wanted", each, mostDecide)
+	if each := (cpuTime(b) - began) / time.Duration(b.N); each > maxDecideTime {
+		b.Errorf("a decision takes %v of CPU time, want at most %v", each, maxDecideTime)
 	}
 }
 
-// processorTime is what this process has used.
-func processorTime(t testing.TB) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(t testing.TB) time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
 		t.Fatal(err)
--- a/bench/keys_test.go
+++ b/bench/keys_test.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// lookUpMost is what finding the workspace of a key may take. It is on the path of each request, of which a
-	// box may spend some milliseconds of a fifth of a core.
-	lookUpMost = 200 * time.Nanosecond
-	// lookUps are done in a round; of the rounds the least counts, since others share the machine.
-	lookUps, lookUpRounds = 10_000, 20
+	// maxLookupTime bounds the lookup of the workspace of a key. The lookup is on the path of each request, for which a box
+	// has a few milliseconds on a fifth of a core.
+	maxLookupTime = 200 * time.Nanosecond
+	// The result is the minimum over lookupRounds rounds of lookupsPerRound lookups, since other processes share the machine.
+	lookupsPerRound, lookupRounds = 10_000, 20
 )
 
-// BenchmarkLargeLookUp finds a key among 2,000 workspaces of 20 keys.
+// BenchmarkLargeLookUp looks up a key among 2,000 workspaces with 20 keys each.
 func BenchmarkLargeLookUp(b *testing.B) {
 	var list []*workspace.Workspace
 	for range 2000 {
@@ -27,22 +27,22 @@
 	}
 	key := workspace.NewKey()
 	list[0].Keys = append(list[0].Keys, workspace.DigestOf(key))
-	book, _ := workspace.NewRegistry(list)
-	shown := []string{key}
+	registry, _ := workspace.NewRegistry(list)
+	presentedKeys := []string{key}
 	for b.Loop() {
 		least := time.Duration(1<<63 - 1)
-		for range lookUpRounds {
+		for range lookupRounds {
 			began := time.Now()
-			for range lookUps {
-				if _, ok := book.Authorize(shown, false); !ok {
-					b.Fatal("the key is not known")
+			for range lookupsPerRound {
+				if _, ok := registry.Authorize(presentedKeys, false); !ok {
+					b.Fatal("the key was not found")
 				}
 			}
-			least = min(least, time.Since(began)/lookUps)
+			least = min(least, time.Since(began)/lookupsPerRound)
 		}
 		b.ReportMetric(float64(least.Nanoseconds()), "ns/look-up")
-		if least > lookUpMost {
-			b.Errorf("a look-up takes %v, %v allowed", least, lookUpMost)
+		if least > maxLookupTime {
+			b.Errorf("a lookup takes %v, want at most %v", least, maxLookupTime)
 		}
 	}
 }
--- a/bench/large_test.go
+++ b/bench/large_test.go
@@ -19,52 +19,52 @@
 	"leverdrum/state"
 	"leverdrum/wire"
 
-	_ "leverdrum/platform" // the codec of its files
+	_ "leverdrum/platform" // registers the codec of the platform's file format
 )
 
-// size is how large a fleet is.
-type size struct{ boxes, servers int }
+// fleetSize is the number of boxes and servers of a fleet.
+type fleetSize struct{ boxes, servers int }
 
-// large is the large fleet of the users.
-var large = size{300, 240}
+// largeFleet is the size of the users' large fleet.
+var largeFleet = fleetSize{300, 240}
 
-// What all of them have: models, models on each server, adapters of a model, data halls.
+// Properties of all fleet sizes: models, models per server, adapters per model, data halls.
 const (
-	largeModels   = 399
-	largeEach     = 3
-	largeAdapters = 3
-	largeHalls    = 6
+	largeModels      = 399
+	modelsPerServer  = 3
+	adaptersPerModel = 3
+	largeHalls       = 6
 )
 
-// Bounds at that size, in processor time of a whole core. A common box has 0.19 of one, so
-// each takes five times as long there.
+// Bounds at the size largeFleet, in CPU time of a whole core. A typical box has 0.19 of a core, so
+// each step takes five times as long there.
 const (
-	// mostLargeStart: the entries by which a fleet comes to be, and the claims' epochs. It
-	// took 2 s when each join made a list of 300 that guard keys.
-	mostLargeStart = 130 * time.Millisecond
-	// mostLargeChange: one more order, to the routes that follow it. It takes 0.4 to 0.7 ms;
-	// 0.6 to 0.9 where residents were gone over three times.
-	mostLargeChange = 1300 * time.Microsecond
-	// mostLargeDecision: a decision when little has changed. It takes 8 ms; 93 ms where what
-	// can go from each server was found anew for each model.
-	mostLargeDecision = 18 * time.Millisecond
-	// mostLargeState is the size of a whole state before it is packed, in bytes. It was
-	// 502,000 with 48 lists of 300 that guard keys.
-	mostLargeState = 250_000
+	// maxLargeStart bounds the application of the entries that set up a fleet and of the claim
+	// epochs. It took 2 s when each join built a list of 300 claim replicas.
+	maxLargeStart = 130 * time.Millisecond
+	// maxLargeChange bounds the handling of one more order, up to the updated routes. It takes
+	// 0.4 to 0.7 ms; it took 0.6 to 0.9 ms with three iterations over the residents.
+	maxLargeChange = 1300 * time.Microsecond
+	// maxLargeDecision bounds a decision after little has changed. It takes 8 ms; it took 93 ms
+	// when the evictable items of each server were determined again for each model.
+	maxLargeDecision = 18 * time.Millisecond
+	// maxLargeState bounds the encoded size of a whole state before compression, in bytes. It was
+	// 502,000 with 48 lists of 300 claim replicas.
+	maxLargeState = 250_000
 )
 
-// largeFile is a configuration in the platform's format.
-func largeFile(number int) string {
+// largeConfig returns a configuration in the platform's format.
+func largeConfig(number int) string {
 	var models []string
 	for i := range largeModels {
-		models = append(models, fmt.Sprintf(`{"name":"model%d","weights_mb":70000,"load_s":5,"adapters":%d,"adapter_mb":66,"warm_s":0.4,"disk_s":0.8}`, i, largeAdapters))
+		models = append(models, fmt.Sprintf(`{"name":"model%d","weights_mb":70000,"load_s":5,"adapters":%d,"adapter_mb":66,"warm_s":0.4,"disk_s":0.8}`, i, adaptersPerModel))
 	}
 	return fmt.Sprintf(`{"version":%d,"routes":[{"name":"r","hostname":"h.example","path_prefix":"/p/","route_type":"streaming","timeout_ms":5000,"target_latency_ms":800,"backend":"s","max_attempts":2,"resumable":true}],
 		"backends":[{"name":"s","max_connections":2100,"engine":{"slots":48,"weights_mb":220000,"adapter_slots":8,"loads_per_s":34,"models":[%s]}}]}`, number, strings.Join(models, ","))
 }
 
-// largeBox is a box of the fleet.
-func largeBox(i int) *wire.Member {
+// largeMember returns the i-th box of the fleet.
+func largeMember(i int) *wire.Member {
 	ip := fmt.Sprintf("10.%d.%d.%d", i%largeHalls, i/250, i%250)
 	return &wire.Member{
 		Box: ip, Incarnation: fmt.Sprintf("incarnation-of-26-letters-%d", i), Process: fmt.Sprintf("process-of-some-26-letters-%d", i),
@@ -72,22 +72,22 @@
 	}
 }
 
-// largeServer is a model server's word.
-func largeServer(i int) *wire.Announcement {
+// largeAnnouncement returns the announcement of the i-th model server.
+func largeAnnouncement(i int) *wire.Announcement {
 	a := &wire.Announcement{Id: fmt.Sprintf("i-%010d", i), Service: "s", Address: fmt.Sprintf("10.9.%d.%d:80", i/250, i%250), Hall: fmt.Sprint("hall", i%largeHalls), Slots: 48, Engine: true}
-	for k := range largeEach {
-		name := fmt.Sprintf("model%d", (i*largeEach+k)%largeModels)
+	for k := range modelsPerServer {
+		name := fmt.Sprintf("model%d", (i*modelsPerServer+k)%largeModels)
 		a.Residents = append(a.Residents, &wire.Item{Model: name, Version: "newest"})
 		a.AtHand = append(a.AtHand, name)
 	}
 	return a
 }
 
-// largeEntries are those of the large fleet.
-func largeEntries(t testing.TB) []*wire.Entry { return entriesOf(t, large) }
+// largeFleetEntries returns the log entries that set up the large fleet.
+func largeFleetEntries(t testing.TB) []*wire.Entry { return fleetEntries(t, largeFleet) }
 
-// entriesOf are the entries by which a fleet of a size comes to be.
-func entriesOf(t testing.TB, n size) []*wire.Entry {
+// fleetEntries returns the log entries that set up a fleet of a size.
+func fleetEntries(t testing.TB, n fleetSize) []*wire.Entry {
 	var list []*wire.Entry
 	add := func(c *wire.Command) {
 		data, err := proto.Marshal(c)
@@ -97,12 +97,12 @@
 		list = append(list, &wire.Entry{Index: uint64(len(list) + 1), Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data})
 	}
 	for i := range n.boxes {
-		add(&wire.Command{Kind: &wire.Command_Join{Join: largeBox(i)}})
+		add(&wire.Command{Kind: &wire.Command_Join{Join: largeMember(i)}})
 	}
-	text := largeFile(1)
+	text := largeConfig(1)
 	add(&wire.Command{Kind: &wire.Command_Apply{Apply: &wire.ApplyFleet{Number: 1, Digest: fleet.Digest([]byte(text)), Text: text, Format: "platform"}}})
 	for i := range n.servers {
-		add(&wire.Command{Kind: &wire.Command_Announce{Announce: largeServer(i)}})
+		add(&wire.Command{Kind: &wire.Command_Announce{Announce: largeAnnouncement(i)}})
 	}
 	return list
 }
@@ -115,9 +115,9 @@
 	}
 }
 
-// enterAll has a box take over the lists of who guards keys, as they come with ten joins
-// each.
-func enterAll(table *claim.Table, st *state.State) {
+// advanceEpochs has a box adopt the epochs of the state, with their lists of claim replicas. It is called once for every ten
+// entries.
+func advanceEpochs(table *claim.Table, st *state.State) {
 	var epochs []claim.Epoch
 	for _, e := range st.Epochs {
 		next := claim.Epoch{Number: e.Number}
@@ -129,52 +129,52 @@
 	table.AdvanceEpoch(0, epochs)
 }
 
-// leastOf is how many runs of a step the least is taken of. The processor's time of one run grows by up to a half
-// where other processes share its cores and caches: beside 24 busy loops one of ten single runs of a decision took 157 ms
-// that takes 64 to 93 ms of most others.
-const leastOf = 12
+// minRuns is the number of runs of which checkCPUTime takes the minimum. The CPU time of a single run grows by up to half
+// when other processes share the cores and caches: beside 24 busy loops one of ten runs of a decision took 157 ms, while
+// most others took 64 to 93 ms.
+const minRuns = 12
 
-// within fails when the least that a step took of the processor is above a bound.
-func within(b *testing.B, what string, bound time.Duration, step func()) {
+// checkCPUTime fails the benchmark if the minimum CPU time of a step exceeds a bound.
+func checkCPUTime(b *testing.B, what string, bound time.Duration, step func()) {
 	least := time.Duration(math.MaxInt64)
 	measured := func() {
-		began := processorTime(b)
+		began := cpuTime(b)
 		step()
-		least = min(least, processorTime(b)-began)
+		least = min(least, cpuTime(b)-began)
 	}
 	for b.Loop() {
 		measured()
 	}
-	for range leastOf - b.N {
+	for range minRuns - b.N {
 		measured()
 	}
 	b.ReportMetric(float64(least.Microseconds()), "cpu-us/op")
 	if least > bound {
-		b.Errorf("%s takes %v of the processor, at most %v is wanted", what, least, bound)
+		b.Errorf("%s takes %v of CPU time, want at most %v", what, least, bound)
 	}
 }
 
-// BenchmarkLargeDayStart: what each box does for the start of all.
+// BenchmarkLargeDayStart measures the work of each box when the whole fleet starts.
 func BenchmarkLargeDayStart(b *testing.B) {
-	entries := largeEntries(b)
+	entries := largeFleetEntries(b)
 	b.ReportAllocs()
-	within(b, "a start", mostLargeStart, func() {
-		st, table := state.New(), claim.NewTable(state.ProcessID(largeBox(7)))
+	checkCPUTime(b, "a start", maxLargeStart, func() {
+		st, table := state.New(), claim.NewTable(state.ProcessID(largeMember(7)))
 		for i, e := range entries {
 			applyAll(b, st, []*wire.Entry{e})
 			if i%10 == 0 {
-				enterAll(table, st)
+				advanceEpochs(table, st)
 			}
 		}
 	})
 }
 
-// BenchmarkLargeDayChange: what each box does when an order is agreed.
+// BenchmarkLargeDayChange measures the work of each box when an order is committed.
 func BenchmarkLargeDayChange(b *testing.B) {
 	st := state.New()
-	applyAll(b, st, largeEntries(b))
-	if size := proto.Size(st.Encode()); size > mostLargeState {
-		b.Errorf("the whole state takes %d bytes, at most %d are wanted", size, mostLargeState)
+	applyAll(b, st, largeFleetEntries(b))
+	if size := proto.Size(st.Encode()); size > maxLargeState {
+		b.Errorf("the whole state takes %d bytes, want at most %d", size, maxLargeState)
 	}
 	view := st.Clone()
 	g := gateway.New(gateway.Options{
@@ -184,7 +184,7 @@
 	g.Refresh()
 	b.ReportAllocs()
 	i := 0
-	within(b, "a change", mostLargeChange, func() {
+	checkCPUTime(b, "a change", maxLargeChange, func() {
 		i++
 		applyAll(b, st, []*wire.Entry{adapterOrder(b, st, i)})
 		view = st.Clone()
@@ -192,14 +192,15 @@
 	})
 }
 
-// adapterOrder is an entry that loads an adapter beside a model, or ends the order before it.
+// adapterOrder returns an entry that orders the loading of an adapter for a resident model, or that closes the previous
+// order.
 func adapterOrder(b testing.TB, st *state.State, i int) *wire.Entry {
 	c := &wire.Command{}
 	for id := range st.Orders.All() {
 		c.Kind = &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_NOT_RUN}}
 	}
 	if c.Kind == nil {
-		a := largeServer(i % large.servers)
+		a := largeAnnouncement(i % largeFleet.servers)
 		model := a.Residents[0].Model
 		c.Kind = &wire.Command_Issue{Issue: &wire.IssueOrder{Order: &wire.Order{
 			Action: wire.OrderAction_ORDER_LOAD, Server: a.Id, ServerIncarnation: a.Id, Memory: 66_000_000,
@@ -209,7 +210,7 @@
 	return entryOf(b, st, c)
 }
 
-// entryOf is the next entry of a state.
+// entryOf returns a command as the next log entry of a state.
 func entryOf(t testing.TB, st *state.State, c *wire.Command) *wire.Entry {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -218,38 +219,38 @@
 	return &wire.Entry{Index: st.Index + 1, Term: 1, Kind: wire.EntryKind_ENTRY_COMMAND, Data: data}
 }
 
-// BenchmarkLargeDayDecide: what the leader does in each round.
+// BenchmarkLargeDayDecide measures the leader's placement decision of each round.
 func BenchmarkLargeDayDecide(b *testing.B) {
 	st := state.New()
-	applyAll(b, st, largeEntries(b))
+	applyAll(b, st, largeFleetEntries(b))
 	demand := map[string]placement.Demand{}
 	for i := range largeModels {
 		demand[fmt.Sprint("model", i)] = placement.Demand{Requests: 800 / float64(i+1), BusySlots: 800 / float64(i+1)}
 	}
 	b.ReportAllocs()
-	within(b, "a decision", mostLargeDecision, func() {
+	checkCPUTime(b, "a decision", maxLargeDecision, func() {
 		placement.Decide(placement.Input{State: st, LeaderFor: time.Hour, Demand: demand})
 	})
 }
 
-// BenchmarkLargeDayAdapters: the same while requests wait for many adapters, beside others
-// that are resident.
+// BenchmarkLargeDayAdapters measures a placement decision while requests wait for many adapters and
+// other adapters are resident.
 func BenchmarkLargeDayAdapters(b *testing.B) {
 	st := state.New()
-	applyAll(b, st, largeEntries(b))
-	for i := range large.servers {
-		for k := range largeEach - 1 {
-			model := largeServer(i).Residents[k].Model
-			r := &wire.Resident{Server: largeServer(i).Id, Item: &wire.Item{Model: model, Adapter: fleet.AdapterName(model, "a1"), Version: "newest"}, Phase: wire.Phase_PHASE_READY, Memory: 66_000_000}
+	applyAll(b, st, largeFleetEntries(b))
+	for i := range largeFleet.servers {
+		for k := range modelsPerServer - 1 {
+			model := largeAnnouncement(i).Residents[k].Model
+			r := &wire.Resident{Server: largeAnnouncement(i).Id, Item: &wire.Item{Model: model, Adapter: fleet.AdapterName(model, "a1"), Version: "newest"}, Phase: wire.Phase_PHASE_READY, Memory: 66_000_000}
 			st.Residents.Put(r)
 		}
 	}
-	wanted := map[string]bool{}
+	awaited := map[string]bool{}
 	for i := range largeModels {
-		wanted[fleet.AdapterName(fmt.Sprint("model", i), "a2")] = true
+		awaited[fleet.AdapterName(fmt.Sprint("model", i), "a2")] = true
 	}
 	b.ReportAllocs()
-	within(b, "a decision", mostLargeDecision, func() {
-		placement.Decide(placement.Input{State: st, LeaderFor: time.Hour, Awaited: wanted})
+	checkCPUTime(b, "a decision", maxLargeDecision, func() {
+		placement.Decide(placement.Input{State: st, LeaderFor: time.Hour, Awaited: awaited})
 	})
 }
--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -17,34 +17,34 @@
 	"leverdrum/wire"
 )
 
-// Four model servers with four places each answer in 40 ms: 400 requests a
-// second. One of them is slow, and one dies halfway.
+// Four model servers with four slots each answer in 40 ms: 400 requests per
+// second. One of them is slow, and one terminates halfway through the run.
 const (
-	loadServers  = 4
-	loadPlaces   = 4
-	loadTokens   = 8
-	loadToken    = 5 * time.Millisecond
-	loadCapacity = loadServers * loadPlaces * 1000 / (loadTokens * 5)
-	loadFor      = 3 * time.Second
+	loadServers      = 4
+	serverSlots      = 4
+	tokensPerRequest = 8
+	tokenTime        = 5 * time.Millisecond
+	loadCapacity     = loadServers * serverSlots * 1000 / (tokensPerRequest * 5)
+	loadDuration     = 3 * time.Second
 )
 
-// loadBed is the servers, and an entry box before them.
-type loadBed struct {
+// loadTestbed holds the simulated servers and an entry box in front of them.
+type loadTestbed struct {
 	engines   [loadServers]*standin.Engine
 	addresses [loadServers]string
 	stop      [loadServers]func()
 	box       string
 }
 
-func newLoadBed(t testing.TB) *loadBed {
-	b := &loadBed{}
+func newLoadTestbed(t testing.TB) *loadTestbed {
+	b := &loadTestbed{}
 	text := "[fleet]\nnumber = 1\n[hall a]\n[class urgent]\ndeadline = 400ms\npriority = 9\n[class bulk]\ndeadline = 1s\n" +
-		fmt.Sprintf("[kind k]\nmemory = 1GiB\nconcurrency = %d\n", loadPlaces)
+		fmt.Sprintf("[kind k]\nmemory = 1GiB\nconcurrency = %d\n", serverSlots)
 	for i := range loadServers {
-		b.engines[i] = standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: loadPlaces, TokenTime: loadToken})
+		b.engines[i] = standin.NewEngine(standin.EngineOptions{Accelerators: 1, Memory: 1 << 30, ChecksFences: true, Concurrency: serverSlots, TokenTime: tokenTime})
 		b.engines[i].Hold(0, "urgent", "", "1", 1)
 		b.engines[i].Hold(0, "bulk", "", "1", 1)
-		b.addresses[i], b.stop[i] = serveUntil(t, b.engines[i])
+		b.addresses[i], b.stop[i] = serveStoppable(t, b.engines[i])
 		text += fmt.Sprintf("[server s%d]\naddress = %s\nhall = a\nkind = k\n", i, b.addresses[i])
 	}
 	text += "[model urgent]\nversion = 1\nmemory = 1B\nclass = urgent\n[model bulk]\nversion = 1\nmemory = 1B\nclass = bulk\n"
@@ -61,9 +61,9 @@
 	return b
 }
 
-// baseline forwards to a server chosen without any knowledge of its load, and
-// waits as long as the deadline.
-func (b *loadBed) baseline(choose func() int) http.Handler {
+// baseline returns a proxy that forwards each request to a server chosen without
+// knowledge of its load, and waits until the caller's deadline.
+func (b *loadTestbed) baseline(choose func() int) http.Handler {
 	sender := proxy.NewSender()
 	var n atomic.Int64
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -79,37 +79,37 @@
 	})
 }
 
-// attained is what share of the requests of each class was answered in time.
-type attained struct{ urgent, bulk float64 }
+// shareInTime holds the fraction of requests of each class that was answered in time.
+type shareInTime struct{ urgent, bulk float64 }
 
-// offer sends requests at a rate, one in four urgent, and counts those that are
-// answered whole within their deadline.
-func offer(address string, perSecond float64, seed uint64, half func()) attained {
+// offerLoad sends requests at a rate, one in four urgent, and returns the share that
+// is answered completely within the deadline. It calls atHalf halfway through the run.
+func offerLoad(address string, perSecond float64, seed uint64, atHalf func()) shareInTime {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	defer client.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var sent, inTime [2]atomic.Int64
 	var wg sync.WaitGroup
 	began := time.Now()
-	next, halved := began, false
-	for time.Since(began) < loadFor {
+	next, halfReached := began, false
+	for time.Since(began) < loadDuration {
 		next = next.Add(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		time.Sleep(time.Until(next))
-		if !halved && time.Since(began) > loadFor/2 {
-			halved = true
-			half()
+		if !halfReached && time.Since(began) > loadDuration/2 {
+			halfReached = true
+			atHalf()
 		}
 		class := min(rng.IntN(4), 1)
 		sent[class].Add(1)
 		wg.Go(func() {
-			if ask(client, address, class) {
+			if sendRequest(client, address, class) {
 				inTime[class].Add(1)
 			}
 		})
 	}
 	wg.Wait()
 	share := func(class int) float64 { return float64(inTime[class].Load()) / float64(max(1, sent[class].Load())) }
-	return attained{share(0), share(1)}
+	return shareInTime{share(0), share(1)}
 }
 
 var (
@@ -117,11 +117,11 @@
 	classDeadlines = []time.Duration{400 * time.Millisecond, time.Second}
 )
 
-func ask(client *http.Client, address string, class int) bool {
+func sendRequest(client *http.Client, address string, class int) bool {
 	began := time.Now()
 	c := *client
 	c.Timeout = classDeadlines[class]
-	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d}`, classModels[class], loadTokens)
+	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d}`, classModels[class], tokensPerRequest)
 	resp, err := c.Post("http://"+address+engine.ChatPath, "application/json", strings.NewReader(body))
 	if err != nil {
 		return false
@@ -131,20 +131,20 @@
 	return err == nil && resp.StatusCode == http.StatusOK && time.Since(began) <= classDeadlines[class]
 }
 
-// BenchmarkAttainment compares the box with random and with round-robin choice
+// BenchmarkAttainment compares the box with random and with round-robin routing
 // at 0.7, 1.0 and 1.5 of capacity, and after the overload has ended.
 func BenchmarkAttainment(b *testing.B) {
 	for _, policy := range []string{"box", "random", "round-robin"} {
 		for _, use := range []float64{0.7, 1.0, 1.5} {
 			b.Run(fmt.Sprintf("%s/%.1f", policy, use), func(b *testing.B) {
 				for b.Loop() {
-					bed := newLoadBed(b)
+					bed := newLoadTestbed(b)
 					address := bed.addressOf(b, policy)
-					offer(address, 0.3*loadCapacity, 1, func() {}) // warm
+					offerLoad(address, 0.3*loadCapacity, 1, func() {}) // warm-up
 					bed.engines[0].Set(standin.Faults{DelayMs: 60})
-					got := offer(address, use*loadCapacity, 2, bed.stop[1])
+					got := offerLoad(address, use*loadCapacity, 2, bed.stop[1])
 					bed.engines[0].Set(standin.Faults{})
-					after := offer(address, 0.5*loadCapacity, 3, func() {})
+					after := offerLoad(address, 0.5*loadCapacity, 3, func() {})
 					b.ReportMetric(got.urgent, "urgent")
 					b.ReportMetric(got.bulk, "bulk")
 					b.ReportMetric(after.urgent, "urgent-after")
@@ -155,7 +155,7 @@
 	}
 }
 
-func (b *loadBed) addressOf(t testing.TB, policy string) string {
+func (b *loadTestbed) addressOf(t testing.TB, policy string) string {
 	var n atomic.Int64
 	switch policy {
 	case "random":
@@ -166,8 +166,8 @@
 	return b.box
 }
 
-// grey are ways in which one of four servers fails without being dead.
-var grey = []struct {
+// grayFailures are partial failures of one of four servers, which still accepts connections.
+var grayFailures = []struct {
 	name   string
 	faults standin.Faults
 }{
@@ -179,18 +179,18 @@
 	{"half-errors", standin.Faults{Status: http.StatusInternalServerError, Every: 2}},
 }
 
-// BenchmarkGrey compares the box with random choice at 0.6 of capacity while one
-// server of four fails grey.
+// BenchmarkGrey compares the box with random routing at 0.6 of capacity while one
+// of four servers has a gray failure.
 func BenchmarkGrey(b *testing.B) {
-	for _, g := range grey {
+	for _, g := range grayFailures {
 		for _, policy := range []string{"box", "random"} {
 			b.Run(g.name+"/"+policy, func(b *testing.B) {
 				for b.Loop() {
-					bed := newLoadBed(b)
+					bed := newLoadTestbed(b)
 					address := bed.addressOf(b, policy)
-					offer(address, 0.3*loadCapacity, 1, func() {}) // warm
+					offerLoad(address, 0.3*loadCapacity, 1, func() {}) // warm-up
 					bed.engines[0].Set(g.faults)
-					got := offer(address, 0.6*loadCapacity, 2, func() {})
+					got := offerLoad(address, 0.6*loadCapacity, 2, func() {})
 					b.ReportMetric(got.urgent, "urgent")
 					b.ReportMetric(got.bulk, "bulk")
 				}
--- a/bench/plot_test.go
+++ b/bench/plot_test.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// point is one policy's day.
+// point is the outcome of one policy, with the label of its point in the plot.
 type point struct {
 	label string
 	outcome
 }
 
-// drawCurves writes attainment against moves, a line a user, as an SVG.
+// drawCurves writes a plot of attainment against moves, one line per user, as an SVG.
 func drawCurves(t testing.TB, path string, curves map[string][]point) {
 	p := plot.New()
-	p.Title.Text = "One day: attainment against moves, as the price of a move varies"
-	p.X.Label.Text = "moves (logarithmic)"
+	p.Title.Text = "Attainment against moves over one day, by move weight"
+	p.X.Label.Text = "moves (log scale)"
 	p.Y.Label.Text = "attainment"
 	p.X.Scale = plot.LogScale{}
 	p.X.Tick.Marker = plot.LogTicks{}
--- a/bench/route_test.go
+++ b/bench/route_test.go
@@ -12,7 +12,7 @@
 	"leverdrum/wire"
 )
 
-// fleetText describes a fleet of the given size in nine halls.
+// fleetText returns the fleet file of a fleet of the given size in nine halls.
 func fleetText(servers, accelerators, models int) string {
 	var b strings.Builder
 	b.WriteString("[fleet]\nnumber = 1\n[class c]\ndeadline = 10s\n[kind k]\nmemory = 80GiB\nkv-reserve = 16GiB\nchecks-fences = true\n")
@@ -29,8 +29,8 @@
 	return b.String()
 }
 
-// placed puts copies of each model on servers in turn.
-func placed(t testing.TB, servers, accelerators, models, copies int) *state.State {
+// newPlacedState returns a state with copies of each model, distributed round-robin over the servers.
+func newPlacedState(t testing.TB, servers, accelerators, models, copies int) *state.State {
 	st, err := standin.Agreed(fleetText(servers, accelerators, models))
 	if err != nil {
 		t.Fatal(err)
@@ -44,11 +44,11 @@
 	return st
 }
 
-// BenchmarkRouteChoice chooses among 1,200 servers and 800 models. It must not
-// allocate.
+// BenchmarkRouteChoice measures the choice of a server among 1,200 servers and 800
+// models, which must not allocate.
 func BenchmarkRouteChoice(b *testing.B) {
 	d := route.NewDirectory("h0")
-	d.Update(placed(b, 1200, 8, 800, 12))
+	d.Update(newPlacedState(b, 1200, 8, 800, 12))
 	t := d.Table()
 	names := make([]string, 800)
 	for i := range names {
@@ -59,11 +59,11 @@
 	choose := func() {
 		i++
 		if chosen, _ := d.Choose(t.Models[names[i%800]], now, route.Criteria{Session: uint64(i)}); chosen == nil {
-			b.Fatal("no server")
+			b.Fatal("no server was chosen")
 		}
 	}
 	if n := testing.AllocsPerRun(1000, choose); n > 0 {
-		b.Fatalf("a choice allocates %.1f times", n)
+		b.Fatalf("a choice makes %.1f allocations, want 0", n)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
