--- a/story/timeline_test.go
+++ b/story/timeline_test.go
@@ -102,5 +102,5 @@
 		events = append(events, line.Box+" "+line.Event)
 	}
 	g.Expect(events).To(Equal([]string{"b1 crash-seen", "b2 crash-seen", "b3 crasher-held", "b4 request-failed"}))
-	g.Expect(tl.Cause).To(ContainSubstring("Backend servers ended"))
+	g.Expect(tl.Cause).To(ContainSubstring("Several backend servers terminated while running this request"))
 }
