--- a/bench/day_test.go
+++ b/bench/day_test.go
@@ -145,7 +145,7 @@
 // replay runs a policy through the day. The policy sees the demand of the previous
 // step. The frozen policy only restores lost copies.
 func replay(t testing.TB, text string, d *day, weight float64, frozen bool) outcome {
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 			in.LeaderFor = 0 // disables moves that follow demand
 		}
 		for _, dec := range placement.Decide(in).Decisions {
-			if r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}}); r.Err == nil {
+			if r := standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}}); r.Err == nil {
 				due[r.Order.Id] = step + orderSteps
 			}
 		}
@@ -188,7 +188,7 @@
 			return
 		}
 		for _, dec := range plan.Decisions {
-			r := standin.Agree(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}})
+			r := standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Issue{Issue: &wire.IssueOrder{Order: dec.Order}}})
 			if r.Err != nil {
 				t.Fatal(r.Err)
 			}
@@ -199,7 +199,7 @@
 }
 
 func closeOrder(st *state.State, id uint64) {
-	standin.Agree(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
+	standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Close{Close: &wire.CloseOrder{Id: id, Outcome: wire.OrderOutcome_OUTCOME_DONE}}})
 }
 
 func closeDueOrders(st *state.State, due map[uint64]int, step int) {
@@ -223,7 +223,7 @@
 		if wasDown[name] {
 			delete(wasDown, name)
 			for _, settled := range []bool{false, true} {
-				standin.Agree(st, &wire.Command{Kind: &wire.Command_Server{Server: &wire.ServerSeen{Server: name, Incarnation: fmt.Sprint("i", step), Settled: settled}}})
+				standin.ApplyCommand(st, &wire.Command{Kind: &wire.Command_Server{Server: &wire.ServerSeen{Server: name, Incarnation: fmt.Sprint("i", step), Settled: settled}}})
 			}
 		}
 	}
@@ -323,7 +323,7 @@
 		b.Run(user, func(b *testing.B) {
 			text := fleetFile(b, user)
 			for b.Loop() {
-				st, err := standin.Agreed(text)
+				st, err := standin.CommittedState(text)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -363,7 +363,7 @@
 	curves := map[string][]point{}
 	for _, user := range []string{"buecherbruecke", "tabua"} {
 		text := fleetFile(t, user)
-		st, err := standin.Agreed(text)
+		st, err := standin.CommittedState(text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/box/backoff_test.go
+++ b/box/backoff_test.go
@@ -47,12 +47,12 @@
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		o.sendModelRequest("again", "m1/a1")
 	}
-	got := maxSentInBackoff(first.AllArrived())
-	t.Logf("at most %d calls in a backoff of 2 s; %d arrived", got, len(first.AllArrived()))
+	got := maxSentInBackoff(first.AllArrivals())
+	t.Logf("at most %d calls in a backoff of 2 s; %d arrived", got, len(first.AllArrivals()))
 	g.Expect(got).To(BeNumerically("<=", maxBackoffRequests))
 	inBackoff.Store(false)
 	g.Eventually(func() int { s, _ := o.sendModelRequest("then", "m1/a1"); return s }, testTimeout).Should(Equal(http.StatusOK))
-	g.Expect(first.Faults()).To(BeEmpty())
+	g.Expect(first.Violations()).To(BeEmpty())
 }
 
 // A server in a long backoff counts as missing capacity: its model is loaded elsewhere.
@@ -63,11 +63,11 @@
 	s.server("", "") // no resident model
 	s.setBackoff("i-1", "30")
 	stop := s.startLoad(20)
-	g.Eventually(func() bool { return s.serverByID("i-2").Holds("m1") }, testTimeout).Should(BeTrue())
+	g.Eventually(func() bool { return s.serverByID("i-2").HasModel("m1") }, testTimeout).Should(BeTrue())
 	time.Sleep(time.Second)
 	stop()
 	g.Expect(s.send(0, "then", "/a/then", "body").complete).To(BeTrue())
-	g.Expect(maxSentInBackoff(s.serverByID("i-1").Arrived())).To(BeNumerically("<=", maxBackoffRequests))
+	g.Expect(maxSentInBackoff(s.serverByID("i-1").Arrivals())).To(BeNumerically("<=", maxBackoffRequests))
 }
 
 // maxSentInBackoff returns the maximum number of requests that one box sent within a backoff that it was asked for.
@@ -75,7 +75,7 @@
 	for i, asked := range arrived {
 		n := 0
 		for _, a := range arrived[i+1:] {
-			if since := a.At.Sub(asked.At); a.Via == asked.Via && since > backoffGrace && since < asked.Rest {
+			if since := a.ReceivedAt.Sub(asked.ReceivedAt); a.Via == asked.Via && since > backoffGrace && since < asked.RetryAfter {
 				n++
 			}
 		}
@@ -108,7 +108,7 @@
 			s.setBackoff("i-1", "")
 			clearedAt := time.Now()
 			time.Sleep(time.Duration(backoff*float64(time.Second)) + 3*time.Second)
-			arrived := s.serverByID("i-1").Arrived()
+			arrived := s.serverByID("i-1").Arrivals()
 			answers := stop()
 
 			got := maxSentInBackoff(arrived)
@@ -135,7 +135,7 @@
 			}
 			back := 0
 			for _, a := range arrived {
-				if a.At.After(clearedAt.Add(time.Duration(backoff*float64(time.Second)) + 2*time.Second)) {
+				if a.ReceivedAt.After(clearedAt.Add(time.Duration(backoff*float64(time.Second)) + 2*time.Second)) {
 					back++
 				}
 			}
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -36,7 +36,7 @@
 	c.startReady()
 	for round := 1; round <= rounds; round++ {
 		for i, e := range c.engines {
-			e.Set(standin.Faults{LoseOrderAnswers: strings.HasSuffix(i, fmt.Sprint(round%4)), OrderDelayMs: 50 * round})
+			e.SetFaults(standin.Faults{DropOrderResponses: strings.HasSuffix(i, fmt.Sprint(round%4)), OrderDelayMs: 50 * round})
 		}
 		c.fleetText = servers + modelSections(round)
 		leader := c.leader()
@@ -48,7 +48,7 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	for _, e := range c.engines {
-		e.Set(standin.Faults{})
+		e.SetFaults(standin.Faults{})
 	}
 	eventually(t, "all models are ready in their new versions", 60*time.Second, func() bool {
 		s := c.readStatus()
@@ -63,7 +63,7 @@
 		return true
 	})
 	for name, e := range c.engines {
-		a := e.Account()
+		a := e.Stats()
 		g.Expect(a.Overcommits).To(BeZero(), "according to %s, which held up to %d bytes", name, a.Peak)
 	}
 }
--- a/e2e/requests_test.go
+++ b/e2e/requests_test.go
@@ -32,7 +32,7 @@
 	sections += "[kind fenced]\nmemory = 10GiB\nchecks-fences = true\nresumes-streams = true\n[kind plain]\nmemory = 10GiB\norder-late = 2s\nresumes-streams = true\n"
 	for i, kind := range []string{"fenced", "plain"} {
 		server := standin.NewEngine(standin.EngineOptions{
-			Accelerators: 1, Memory: 10 << 30, ChecksFences: kind == "fenced", Concurrency: 16, TokenTime: time.Millisecond, LoadTime: 20 * time.Millisecond, Resumes: true,
+			Accelerators: 1, Memory: 10 << 30, ChecksFences: kind == "fenced", Concurrency: 16, TokenTime: time.Millisecond, LoadTime: 20 * time.Millisecond, ResumesStreams: true,
 		})
 		name := fmt.Sprint("engine", i)
 		c.engines[name] = server
@@ -106,7 +106,7 @@
 	if a.status != http.StatusOK {
 		return a.outcome
 	}
-	var got standin.ServiceAnswer
+	var got standin.ServiceResponse
 	if err := json.Unmarshal(a.body, &got); err != nil || got.Body != body || got.Run != 1 || got.Key != "" && got.Key != key {
 		l.t.Errorf("incorrect answer to %s: %s, %v", key, a.body, err)
 	}
@@ -150,7 +150,7 @@
 	if a.err != nil || a.status != http.StatusOK {
 		return
 	}
-	want := strings.Join(standin.Words("m", "1", []byte(body), 12), " ")
+	want := strings.Join(standin.ExpectedWords("m", "1", []byte(body), 12), " ")
 	if got := completionText(a.body, stream); got != want {
 		l.t.Errorf("the answer to %s appears complete and is %q, not %q", id, got, want)
 	}
@@ -176,14 +176,14 @@
 // audit compares the outcomes that callers received with what the backend servers ran.
 func (l *callLedger) audit(c *cluster) {
 	runs := map[string]int{}
-	for key, n := range c.services["shop"].Account().Ran {
+	for key, n := range c.services["shop"].Stats().Runs {
 		runs[key] += n
 		if n > 1 {
 			l.t.Errorf("%s ran %d times", key, n)
 		}
 	}
 	for _, e := range c.engines {
-		for id, n := range e.Account().Ran {
+		for id, n := range e.Stats().Runs {
 			runs[id] += n
 		}
 	}
@@ -228,12 +228,12 @@
 // model server, until the context ends.
 func injectBackendFaults(ctx context.Context, c *cluster, rng *rand.Rand) {
 	faults := []standin.Faults{
-		{}, {BreakBefore: true}, {}, {Refuse: true}, {}, {DelayMs: 300}, {}, {BreakAfter: 200}, {}, {NoLastEvent: true}, {}, {WrongID: true},
+		{}, {DisconnectBeforeResponse: true}, {}, {Refuse: true}, {}, {DelayMs: 300}, {}, {DisconnectAfter: 200}, {}, {OmitLastEvent: true}, {}, {WrongID: true},
 	}
 	for i := 0; ctx.Err() == nil; i++ {
 		fault := faults[i%len(faults)]
-		c.services["shop"].Set(fault)
-		c.engines[fmt.Sprint("engine", rng.IntN(2))].Set(fault)
+		c.services["shop"].SetFaults(fault)
+		c.engines[fmt.Sprint("engine", rng.IntN(2))].SetFaults(fault)
 		for range 3 {
 			time.Sleep(100 * time.Millisecond)
 			if ctx.Err() != nil {
@@ -241,10 +241,10 @@
 			}
 		}
 		for _, e := range c.engines {
-			e.Set(standin.Faults{})
+			e.SetFaults(standin.Faults{})
 		}
 	}
-	c.services["shop"].Set(standin.Faults{})
+	c.services["shop"].SetFaults(standin.Faults{})
 }
 
 // TestRequestsUnderFailure sends orders with and without idempotency keys and chat
@@ -273,7 +273,7 @@
 	ledger.audit(c)
 	g.Expect(ledger.counts["done"]).To(BeNumerically(">", 500*rounds), "too few requests were answered for the run to be conclusive")
 	for name, e := range c.engines {
-		g.Expect(e.Account().Overcommits).To(BeZero(), "according to %s", name)
+		g.Expect(e.Stats().Overcommits).To(BeZero(), "according to %s", name)
 	}
 }
 
@@ -422,7 +422,7 @@
 // totalRuns returns the number of requests that the server has run.
 func totalRuns(e *standin.Engine) int {
 	sum := 0
-	for _, n := range e.Account().Ran {
+	for _, n := range e.Stats().Runs {
 		sum += n
 	}
 	return sum
@@ -432,7 +432,7 @@
 func (c *cluster) drainServer(source, server string) {
 	switch {
 	case strings.HasPrefix(source, "its own report"):
-		c.engines[server].Set(standin.Faults{Leaving: true})
+		c.engines[server].SetFaults(standin.Faults{Draining: true})
 	case source == "the platform's list":
 		c.platform.Replace([]platform.Machine{{Name: server, Draining: true}})
 	case source == "the fleet file":
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -37,7 +37,7 @@
 // issueFiles issues a certificate for the name and writes its files to the folder.
 func issueFiles(t *testing.T, a *standin.Authority, folder, name string) certs.Files {
 	t.Helper()
-	f, err := a.Write(folder, name)
+	f, err := a.Issue(folder, name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -35,14 +35,14 @@
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 2)
 	const backoff = 1500 * time.Millisecond
-	l.instances[0].Set(standin.Faults{Rest: "1.5"})
+	l.instances[0].SetFaults(standin.Faults{RetryAfter: "1.5"})
 	_, refused := l.sendCalls(t, 40, 4*time.Second)
-	l.instances[0].Set(standin.Faults{})
+	l.instances[0].SetFaults(standin.Faults{})
 	until := time.Now()
 	g.Expect(refused).To(BeEmpty(), "the other instance has capacity")
-	rejected := len(l.instances[0].Came())
+	rejected := len(l.instances[0].ArrivalTimes())
 	l.sendCalls(t, 40, backoff+2*time.Second)
-	arrivals := l.instances[0].Came()
+	arrivals := l.instances[0].ArrivalTimes()
 	t.Logf("%d calls rejected, %d accepted afterwards", rejected, len(arrivals)-rejected)
 	g.Expect(maxDuringBackoff(arrivals, until, backoff)).To(BeNumerically("<=", 2))
 	g.Expect(len(arrivals)-rejected).To(BeNumerically(">", 20), "the instance gets half of the calls again")
@@ -51,10 +51,10 @@
 func TestCallsDuringBackoffAreRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 1)
-	l.instances[0].Set(standin.Faults{Rest: "2"})
+	l.instances[0].SetFaults(standin.Faults{RetryAfter: "2"})
 	_, refused := l.sendCalls(t, 30, 5*time.Second)
 	until := time.Now()
-	g.Expect(maxDuringBackoff(l.instances[0].Came(), until, 2*time.Second)).To(BeNumerically("<=", 2))
+	g.Expect(maxDuringBackoff(l.instances[0].ArrivalTimes(), until, 2*time.Second)).To(BeNumerically("<=", 2))
 	g.Expect(len(refused)).To(BeNumerically(">", 100))
 	inBackoff := 0
 	for _, r := range refused {
@@ -73,11 +73,11 @@
 func TestDrainingInstanceGetsNoCalls(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 2, 2)
-	l.instances[0].Set(standin.Faults{Drains: true})
+	l.instances[0].SetFaults(standin.Faults{DrainingHeader: true})
 	began := time.Now()
 	_, refused := l.sendCalls(t, 40, 4*time.Second)
 	g.Expect(refused).To(BeEmpty())
-	for _, at := range l.instances[0].Came() {
+	for _, at := range l.instances[0].ArrivalTimes() {
 		g.Expect(at.Sub(began)).To(BeNumerically("<", 2*time.Second))
 	}
 }
@@ -87,12 +87,12 @@
 func TestBackoffIsNotCountedAsFailure(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 1, 2)
-	l.instances[0].Set(standin.Faults{Rest: "0.05"})
+	l.instances[0].SetFaults(standin.Faults{RetryAfter: "0.05"})
 	_, refused := l.sendCalls(t, 40, 8*time.Second)
 	g.Expect(refused).To(BeEmpty())
-	rejected := len(l.instances[0].Came())
+	rejected := len(l.instances[0].ArrivalTimes())
 	g.Expect(rejected).To(BeNumerically(">", 10))
-	l.instances[0].Set(standin.Faults{})
+	l.instances[0].SetFaults(standin.Faults{})
 	l.sendCalls(t, 40, 1500*time.Millisecond)
-	g.Expect(len(l.instances[0].Came())-rejected).To(BeNumerically(">", 15), "the instance gets half of the calls")
+	g.Expect(len(l.instances[0].ArrivalTimes())-rejected).To(BeNumerically(">", 15), "the instance gets half of the calls")
 }
--- a/entry/limits_test.go
+++ b/entry/limits_test.go
@@ -58,7 +58,7 @@
 		l.instances = append(l.instances, s)
 		text += fmt.Sprintf("[instance shop%d]\nservice = shop\naddress = %s\nhall = a\n", i, server.Listener.Addr())
 	}
-	st, err := standin.Agreed(text)
+	st, err := standin.CommittedState(text)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	l.state.view.Store(st)
 	lessor := rate.NewLessor("p", clock.New().Now)
@@ -141,19 +141,19 @@
 func TestInstanceLimitIsHonored(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 4, 2)
-	l.instances[0].Set(standin.Faults{Limit: "1"})
+	l.instances[0].SetFaults(standin.Faults{Limit: "1"})
 	limitSetAt := time.Now()
 	sent, refused := l.sendCalls(t, 30, 7*time.Second)
-	maxCalls := maxIn4s(l.instances[0].Came(), limitSetAt.Add(time.Second))
+	maxCalls := maxIn4s(l.instances[0].ArrivalTimes(), limitSetAt.Add(time.Second))
 	t.Logf("%d calls, at most %d within 4 s at a limit of 1 per second", sent, maxCalls)
 	g.Expect(maxCalls).To(BeNumerically("<=", 11))
 	g.Expect(refused).To(BeEmpty(), "the other instance has capacity")
 
-	l.instances[0].Set(standin.Faults{})
+	l.instances[0].SetFaults(standin.Faults{})
 	l.sendCalls(t, 30, 8*time.Second)
-	afterLimit := len(l.instances[0].Came())
+	afterLimit := len(l.instances[0].ArrivalTimes())
 	l.sendCalls(t, 30, 2*time.Second)
-	g.Expect(len(l.instances[0].Came())-afterLimit).To(BeNumerically(">", 15), "the limit has ended")
+	g.Expect(len(l.instances[0].ArrivalTimes())-afterLimit).To(BeNumerically(">", 15), "the limit has ended")
 }
 
 // Guards against calls that wait although no instance can take them: they must be refused immediately
@@ -161,10 +161,10 @@
 func TestCallsBeyondLimitAreRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	l := newLimitedBoxes(t, 3, 1)
-	l.instances[0].Set(standin.Faults{Limit: "2"})
+	l.instances[0].SetFaults(standin.Faults{Limit: "2"})
 	limitSetAt := time.Now()
 	sent, refused := l.sendCalls(t, 30, 6*time.Second)
-	g.Expect(maxIn4s(l.instances[0].Came(), limitSetAt.Add(time.Second))).To(BeNumerically("<=", 17))
+	g.Expect(maxIn4s(l.instances[0].ArrivalTimes(), limitSetAt.Add(time.Second))).To(BeNumerically("<=", 17))
 	g.Expect(sent-len(refused)).To(BeNumerically(">=", 8), "the instance's limit is used up")
 	g.Expect(len(refused)).To(BeNumerically(">", sent/2))
 	for _, r := range refused {
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFoundRouteIsTheLongest(t *testing.T) {
+func TestFindReturnsLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"", "a/", "b/", "a/b/", "a/a/"})
 		var list []*fleet.Route
@@ -53,11 +53,11 @@
 		found := fleet.NewRouteTable(list).Find("h", path)
 		for _, r := range list {
 			if strings.HasPrefix(path, r.Prefix) && (found == nil || len(r.Prefix) > len(found.Prefix)) {
-				t.Fatalf("%q is longer than what was found for %q", r.Prefix, path)
+				t.Fatalf("%q is a longer prefix than the one found for %q", r.Prefix, path)
 			}
 		}
 		if found != nil && !strings.HasPrefix(path, found.Prefix) {
-			t.Fatalf("%q does not begin %q", found.Prefix, path)
+			t.Fatalf("%q is not a prefix of %q", found.Prefix, path)
 		}
 	})
 }
