--- a/placement/limits.go
+++ b/placement/limits.go
@@ -92,7 +92,9 @@
 	return len(list) > 0 && !slices.ContainsFunc(list, func(c modelCopy) bool { return c.acc.load.limit == 0 })
 }
 
-// cheapestTarget is rule 4.
+// cheapestTarget returns the accelerator without a limit where a copy of the model evicts the
+// copies that cost the fewest requests, with these copies; its headroom does not matter (4). With
+// freeOnly, only accelerators with enough free memory are considered.
 func (p *planner) cheapestTarget(m *fleet.Model, freeOnly bool) (best target) {
 	minCost := 0.0
 	for _, a := range p.accs {
--- a/placement/needs.go
+++ b/placement/needs.go
@@ -147,7 +147,8 @@
 	return list
 }
 
-// bestAccelerator is rule 2.
+// bestAccelerator returns the preferred accelerator among those with free memory for the model and
+// its adapters, or nil if there is none (2).
 func (p *planner) bestAccelerator(m *fleet.Model) *accelerator {
 	halls := map[string]bool{}
 	for _, c := range p.serving(m) {
@@ -205,7 +206,9 @@
 	p.order(a, wire.OrderAction_ORDER_LOAD, item, m.Memory, reason)
 }
 
-// makeRoom is rule 5. The copy itself is placed once the memory is free.
+// makeRoom evicts the copies on one accelerator that cost the fewest requests, so that the needed
+// copy fits there (5). Without such an accelerator it relocates copies for a model without any copy
+// (8), or else records a shortage. The copy itself is placed once the memory is free.
 func (p *planner) makeRoom(n need) {
 	if p.makingRoomFor[n.model.Name] || p.in.Deferred[n.model.Name] { // (11, 13)
 		return
--- a/placement/ondemand.go
+++ b/placement/ondemand.go
@@ -10,7 +10,8 @@
 	"leverdrum/wire"
 )
 
-// planOnDemandAdapters is rule 9.
+// planOnDemandAdapters places each on-demand adapter that requests wait for and that is neither
+// ready nor loading on a usable server (9).
 func (p *planner) planOnDemandAdapters() {
 	for _, name := range slices.Sorted(maps.Keys(p.in.Awaited)) {
 		a := p.fleet.Adapters[name]
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -328,7 +328,8 @@
 	}
 }
 
-// planUnloads is rule 4. Adapters are unloaded before the models beside which they are loaded.
+// planUnloads orders the unload of items that are not wanted any more, and of old versions once the
+// new one is ready (4). Adapters are unloaded before the models beside which they are loaded.
 func (p *planner) planUnloads() {
 	for _, adapters := range []bool{true, false} {
 		for i, loc := range p.locations {
@@ -369,7 +370,7 @@
 	if loc.Adapter != "" {
 		a := p.fleet.Adapters[loc.Adapter]
 		if a != nil && a.OnDemand {
-			return "" // goes with its model, or by rule 9
+			return "" // unloaded with its model, or evicted for another adapter (9)
 		}
 		switch {
 		case a == nil || a.Model != loc.Model:
@@ -391,7 +392,7 @@
 	return ""
 }
 
-// planAdapters is rule 3.
+// planAdapters loads the missing adapters beside each ready copy of their model's current version (3).
 func (p *planner) planAdapters() {
 	for _, m := range p.models {
 		for _, c := range p.copies[m.Name] {
@@ -412,5 +413,5 @@
 	}
 }
 
-// mayLoad is rule 6.
+// mayLoad reports whether another load from the weight store may be opened (6).
 func (p *planner) mayLoad() bool { return p.openLoads < p.fleet.MaxConcurrentLoads }
--- a/placement/repack.go
+++ b/placement/repack.go
@@ -18,7 +18,9 @@
 	to    *accelerator
 }
 
-// repack is rule 8. It reports whether room is being made for the model.
+// repack makes room for a model that fits on no single accelerator: it orders loads elsewhere of the
+// copies that block it, choosing the accelerator where these have the fewest bytes (8). It reports
+// whether room is being made for the model.
 func (p *planner) repack(m *fleet.Model) bool {
 	if p.relocationUnderWay(m) {
 		return true
