--- a/wire/levels_test.go
+++ b/wire/levels_test.go
@@ -13,13 +13,14 @@
 	"leverdrum/wire"
 )
 
-// levelsFile lists each field and each value of what boxes say to each other, with the level that brought it. A line
-// is never changed: a build of that level reads it so.
+// levelsFile lists each message field and each enum value of the protocol between boxes, with the level that
+// introduced it. A line is never changed, since builds of that level decode the field or value as listed.
 const levelsFile = "levels.txt"
 
-// TestEachFieldHasItsLevel fails where the proto gains, loses or changes what levels.txt does not have so.
-func TestEachFieldHasItsLevel(t *testing.T) {
-	have := described()
+// TestFieldsAndValuesHaveLevels fails if a field or an enum value is added, removed or changed in wire.proto but not
+// in levels.txt.
+func TestFieldsAndValuesHaveLevels(t *testing.T) {
+	have := protoItems()
 	f, err := os.Open(levelsFile)
 	if err != nil {
 		t.Fatal(err)
@@ -29,26 +30,26 @@
 	for in := bufio.NewScanner(f); in.Scan(); {
 		item, level, ok := strings.Cut(in.Text(), " since ")
 		if !ok || level == "" {
-			t.Errorf("%s: %q names no level", levelsFile, in.Text())
+			t.Errorf("%s: line %q has no level", levelsFile, in.Text())
 		}
 		listed[item] = true
 	}
 	for _, item := range have {
 		if !listed[item] {
-			t.Errorf("%s lacks %q: add it with the level that brings it", levelsFile, item)
+			t.Errorf("%s lacks %q: add it with the level that introduces it", levelsFile, item)
 		}
 		delete(listed, item)
 	}
 	for item := range listed {
-		t.Errorf("%s has %q, which the proto has no more", levelsFile, item)
+		t.Errorf("%s has %q, which wire.proto does not have", levelsFile, item)
 	}
 }
 
-// described lists the fields and the values of all messages and enums.
-func described() (list []string) {
+// protoItems lists the fields of all messages and the values of all enums in the format of levels.txt, without levels.
+func protoItems() (list []string) {
 	file := wire.File_wire_wire_proto
 	for i := range file.Messages().Len() {
-		list = append(list, fieldsOf(file.Messages().Get(i))...)
+		list = append(list, fieldItems(file.Messages().Get(i))...)
 	}
 	for i := range file.Enums().Len() {
 		e := file.Enums().Get(i)
@@ -61,33 +62,33 @@
 	return list
 }
 
-func fieldsOf(m protoreflect.MessageDescriptor) (list []string) {
+func fieldItems(m protoreflect.MessageDescriptor) (list []string) {
 	for i := range m.Fields().Len() {
 		f := m.Fields().Get(i)
 		list = append(list, fmt.Sprintf("%s.%s %v %v = %d", m.Name(), f.Name(), f.Cardinality(), f.Kind(), f.Number()))
 	}
 	for i := range m.Messages().Len() {
-		list = append(list, fieldsOf(m.Messages().Get(i))...)
+		list = append(list, fieldItems(m.Messages().Get(i))...)
 	}
 	return list
 }
 
-// TestMain writes the list where WRITE_LEVELS names the level of what is new in it.
+// TestMain first adds unlisted fields and values to levels.txt if WRITE_LEVELS is set, which gives their level.
 func TestMain(m *testing.M) {
 	if level := os.Getenv("WRITE_LEVELS"); level != "" {
-		writeLevels(level)
+		addUnlisted(level)
 	}
 	os.Exit(m.Run())
 }
 
-func writeLevels(level string) {
-	old, _ := os.ReadFile(levelsFile) // none at first
+func addUnlisted(level string) {
+	old, _ := os.ReadFile(levelsFile) // the file may not exist yet
 	f, err := os.OpenFile(levelsFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		panic(err)
 	}
 	defer f.Close()
-	for _, item := range described() {
+	for _, item := range protoItems() {
 		if !strings.Contains(string(old), item+" since ") {
 			fmt.Fprintf(f, "%s since %s\n", item, level)
 		}
