--- a/scripts/local.sh
+++ b/scripts/local.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Brings up a whole system on loopback as separate processes: three boxes, two
-# model servers, one plain service, the weight store and the platform's list.
+# Starts a whole system on loopback as separate processes: three boxes, two
+# model servers, one plain service, the weight store and the platform's instance
+# list.
 #
-#   scripts/local.sh run     serves until interrupted
-#   scripts/local.sh smoke   sends requests through each box, checks the answers,
-#                            and ends; exits non-zero on any difference
+#   scripts/local.sh run     runs until interrupted
+#   scripts/local.sh smoke   sends requests through each box, checks the
+#                            responses and exits, non-zero on any difference
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -23,7 +24,7 @@
 trap stop_all EXIT
 trap 'exit 0' INT TERM
 
-# in_use PORT succeeds when something listens there.
+# in_use PORT succeeds if something listens on the port.
 in_use() { (exec 3<>"/dev/tcp/127.0.0.1/$1") 2>/dev/null; }
 
 # find_ports sets base to the first of 20 free ports.
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Takes one mechanism out at a time, in a scratch copy, and runs the test that is
-# to notice. Prints one line a mechanism; exits non-zero if a test still passes.
+# Mutation tests: disables one mechanism at a time in a scratch copy and runs the
+# test that must fail then. Prints one line per mutant; exits non-zero if a test
+# still passes, or if a mutant does not apply or build.
 #
 #   scripts/mutants.sh [NAME...]
 set -euo pipefail
@@ -271,7 +272,7 @@
 mutant limits-of-entry-not-heeded entry/pushback.go 's/permit, block := e.opts.Pushback.Acquire\(ctx, b.Name, j.admission.Rank\)/permit, block := pushback.Permit{}, (*pushback.Block)(nil)/' entry 'TestCallsBeyond'
 mutant limits-of-gateway-not-heeded gateway/pushback.go 's/return block == nil/_ = block\n\treturn true/' box 'TestExcessRequests'
 mutant limits-not-told throttle/throttle.go 's/\t\tt.opts.ReportLimit\(server, limit\)\n//' throttle 'TestNewerReport'
-mutant limits-for-good throttle/throttle.go 's/!reported \&\& \(!r.Own \|\| !t.hasLimit\(server\)\)/!reported/' throttle 'TestNewerReport'
+mutant limits-for-good throttle/throttle.go 's/!reported \&\& \(!r.FromServer \|\| !t.hasLimit\(server\)\)/!reported/' throttle 'TestNewerReport'
 mutant limits-outlive-servers state/state.go 's/\tdelete\(s.Limits, name\)\n//' control 'TestServerLimits'
 mutant limits-below-their-level control/limits.go 's/view.Level < level.ServerLimits/view.Level < level.First/' control 'TestServerLimits'
 mutant limits-agreed-each-time control/limits.go 's/now.Sub\(c.limitChangedAt\[l.Server\]\) < minLimitInterval/false/' control 'TestServerLimits'
