--- a/box/crasher_test.go
+++ b/box/crasher_test.go
@@ -219,7 +219,7 @@
 
 // Guards against a request that terminates each server that starts to run it and is repeated at all boxes with the same
 // path and body but another ID each time: 27 and 39 servers terminated in two cases. Which servers had failed was
-// recorded only in the attempt, and no box told another. The fingerprint made of path, model and body is the same for
+// recorded only in the attempt, and the boxes did not share it. The fingerprint made of path, model and body is the same for
 // all these attempts.
 //
 // Three terminated servers must suffice to block such a request. At most as many again may terminate before all boxes
--- a/box/draining_test.go
+++ b/box/draining_test.go
@@ -73,8 +73,8 @@
 	g.Expect(s.serverByID("i-2").HasModel("m1")).To(BeTrue(), "the last copy is loaded elsewhere")
 }
 
-// The same without a leader that could distribute it, while the committed state has the server as not draining: each box honors
-// what it was told itself.
+// The same without a leader that could distribute the drain, while the committed state has the server as not draining:
+// each box honors the reports that it received itself.
 func TestDrainingHonoredWithoutLeader(t *testing.T) {
 	s := startMultiBox(t, 3)
 	s.startServers(2)
--- a/box/lead.go
+++ b/box/lead.go
@@ -78,7 +78,7 @@
 }
 
 // applyFile commits a file and then waits until it, or the newer one in force in its place,
-// has reached the boxes: a client that is told that a file was accepted relies on it, even if
+// has reached the boxes: a client that gets the confirmation that a file was accepted relies on it, even if
 // a newer file has superseded it.
 func applyFile(ctx context.Context, p *components, a *wire.ApplyFleet) (*wire.ForwardAnswer, error) {
 	a, err := state.UnpackFile(a)
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -27,7 +27,7 @@
 //     steps down.
 //     1.8 A node that receives nothing from a leader for longer than its election
 //     timeout knows of no leader, whether it may campaign or not: a node that is
-//     no longer a voter is not told of a leader change.
+//     no longer a voter is not notified of a leader change.
 //  2. The log.
 //     2.1 Entries are accepted only after an entry of equal index and term; a
 //     conflicting tail is truncated; a committed entry is never truncated.
--- a/dialect/report.go
+++ b/dialect/report.go
@@ -8,10 +8,10 @@
 // Report is what a response reports about its server, apart from the response itself. The zero value
 // reports nothing.
 type Report struct {
-	// FromServer tells that the response certainly comes from the server itself. Only then does a
+	// FromServer is set if the response certainly comes from the server itself. Only then does a
 	// response without a limit mean that there is none.
 	FromServer bool
-	// HasLimit tells that the response has a valid limit. LimitErr is set if a value was malformed or
+	// HasLimit is set if the response has a valid limit. LimitErr is set if a value was malformed or
 	// clamped.
 	HasLimit bool
 	Limit    Limit
@@ -20,7 +20,7 @@
 	// does not say. BackoffErr is set if a value was malformed or clamped.
 	Backoff    time.Duration
 	BackoffErr error
-	// Draining tells that the server is about to terminate. DrainTTL bounds how long that holds; 0
+	// Draining is set if the server is about to terminate. DrainTTL bounds how long that holds; 0
 	// means until the server's incarnation ends.
 	Draining    bool
 	DrainTTL    time.Duration
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -56,7 +56,7 @@
 	return s
 }
 
-// newFixture returns a fixture; resumes tells which of the model servers can resume streams.
+// newFixture returns a fixture; resumes[i] is set if model server i can resume streams.
 func newFixture(deadline string, resumes ...bool) *fixture {
 	GinkgoHelper()
 	resumes = append(resumes, false, false)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -229,7 +229,7 @@
 		return err == nil
 	}
 	a, b := newBackend(t, "i1", refuses), newBackend(t, "i2", answerOK)
-	for range 20 { // a box prefers a server with an idle connection, so each setup starts anew
+	for range 20 { // a box prefers a server with an idle connection, so each round uses a new setup
 		s := newSetup(t, 5*time.Second, a, b)
 		g.Expect(s.send(request("/unsafe/x", ""))).To(HavePrefix("HTTP/1.1 200 "))
 	}
--- a/gateway/job.go
+++ b/gateway/job.go
@@ -47,7 +47,7 @@
 	headSent        bool        // the head of the response was forwarded
 	complete        bool        // the response was forwarded in full, to an end that it states
 	responseStarted atomic.Bool // same as headSent, for other goroutines
-	// retryGranted tells that the next attempt was already taken from the budget.
+	// retryGranted is set if the next attempt was already charged to the retry budget.
 	retryGranted   atomic.Bool
 	permit         pushback.Permit // of the latest attempt
 	retryAfter     time.Duration   // time until a server takes the request, where limits or backoff refused it
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -27,7 +27,7 @@
 	pool          *connPool
 	drainingSince atomic.Int64 // since when it drains, in Unix nanoseconds; 0: it does not
 	unresponsive  atomic.Bool
-	// evacuated tells that its data hall is evacuated, so that nothing is sent to it.
+	// evacuated is set while its data hall is evacuated; nothing is sent to it then.
 	evacuated atomic.Bool
 
 	mu                       sync.Mutex
@@ -150,7 +150,7 @@
 	return s.stallRate.at(now, stallDecay) * (stallPenalty + stallPrefillFactor*work)
 }
 
-// endAttempt records the end of an attempt. pending tells that its first event has not arrived.
+// endAttempt records the end of an attempt. pending reports whether its first event is still missing.
 func (s *server) endAttempt(startedAt time.Time, work float64, pending bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -68,7 +68,7 @@
 	Header     http.Header
 	Body       []byte
 	BodyReader io.ReadCloser
-	// Stream tells that BodyReader is an event stream.
+	// Stream is set if BodyReader is an event stream.
 	Stream bool
 	// Version is the version of the weights, "" if the backend does not report it.
 	Version string
--- a/spread/inforce.go
+++ b/spread/inforce.go
@@ -7,11 +7,11 @@
 
 // Rules for acknowledging to the operator that a file is active:
 //
-//  1. All listed boxes that were seen recently have applied it: an operator who is told that
-//     a file is active relies on that at any box.
+//  1. All listed boxes that were seen recently have applied it: an operator relies on
+//     the acknowledged file at any box.
 //  2. After a timeout it suffices that a majority has applied it: a box that has just failed
 //     still counts as seen.
-//  3. After a longer time since the commit the operator is told in any case, so that a box
+//  3. After a longer time since the commit the file is acknowledged in any case, so that a box
 //     that is seen but makes no progress does not block all operator actions. The time counts
 //     across all retries of the file, since each of them may be cut off before it ends.
 //
