--- a/claim/claim.go
+++ b/claim/claim.go
@@ -196,7 +196,8 @@
 	}
 }
 
-// advanceSlot implements rule 4 for one slot and one change of the epoch.
+// advanceSlot handles a change of the epoch for one slot: a holder that was ready in the previous
+// epoch is ready at once, and a new one starts to transfer the slot's claims (4).
 func (t *Table) advanceSlot(now time.Duration, s int, to uint64) {
 	sl := &t.slots[s]
 	if !slices.Contains(t.epoch(to).Holders(s), t.self) {
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -321,7 +321,8 @@
 	}
 }
 
-// advanceCommit applies rule 2.2, and continues or ends a change of the voters (2.5, 2.6).
+// advanceCommit commits what a quorum holds, if the newest such entry is of this term (2.2), and
+// continues or ends a change of the voters (2.5, 2.6).
 func (n *Node) advanceCommit() {
 	index := n.quorumIndex()
 	if index <= n.commit || n.log.term(index) != n.term {
--- a/control/counted.go
+++ b/control/counted.go
@@ -51,7 +51,8 @@
 	countAdvanced bool
 }
 
-// finishCounted implements rule 6.
+// finishCounted sends an order to a server that counts orders, and retries it under the same count
+// until an answer or the server's report closes it (6).
 func (c *Controller) finishCounted(ctx context.Context, o *wire.Order, s *fleet.Server) {
 	inherited := o.Term != c.opts.Replica.Status().Term
 	x := &countedDelivery{c: c, order: o, addr: s.Address, unconfirmed: inherited, inherited: inherited}
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -55,7 +55,8 @@
 	return []string{name}
 }
 
-// initInFlight implements rule 3. c.mu must be held.
+// initInFlight records the orders of earlier leaders that may still arrive: their open orders, and
+// those that were open when their server restarted (3). c.mu must be held.
 func (c *Controller) initInFlight(view *state.State, now time.Time) {
 	c.inFlight = inFlightOrders{}
 	for _, o := range view.Orders.All() {
@@ -111,7 +112,8 @@
 	}
 }
 
-// holdNextIncarnations implements rule 2.
+// holdNextIncarnations adds to held the incarnations to which an order for a previous one may still
+// arrive (2).
 func (c *Controller) holdNextIncarnations(view *state.State, now time.Time, held map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/levels.go
+++ b/control/levels.go
@@ -14,7 +14,8 @@
 	"leverdrum/wire"
 )
 
-// raiseLevel implements rule 3 of package level. Only the goroutine that runs the steps calls it.
+// raiseLevel raises the level once all listed boxes have supported the next one for
+// UpgradeSettleTime, or at once if no fleet file was ever active (package level, 3). Only the goroutine that runs the steps calls it.
 func (c *Controller) raiseLevel(ctx context.Context, now time.Time) {
 	view := c.opts.Replica.View()
 	next, supported := c.nextLevel(view)
--- a/control/loads.go
+++ b/control/loads.go
@@ -37,7 +37,7 @@
 	return crasher.FingerprintOf(crasher.Content{Method: "load", Target: i.Model + "@" + i.Version, Model: i.Adapter})
 }
 
-// loadBlocked implements rule 3.
+// loadBlocked reports whether an order loads an item that is blocked on the server's version (3).
 func loadBlocked(view *state.State, o *wire.Order) bool {
 	return o.Action == wire.OrderAction_ORDER_LOAD && view.Crashers.HasBlocked() &&
 		view.Crashers.Blocks(loadFingerprint(o.Item), view.Announcements.Get(o.Server).GetVersion())
@@ -110,7 +110,7 @@
 	return true, true
 }
 
-// itemReady implements rule 2.
+// itemReady reports whether an item is ready on some server or was loaded under this leader (2).
 func (c *Controller) itemReady(view *state.State, i *wire.Item) bool {
 	if c.wasLoaded(loadFingerprint(i)) {
 		return true
--- a/control/orders.go
+++ b/control/orders.go
@@ -42,7 +42,8 @@
 	c.finishUnfenced(ctx, o, s, issuedHere)
 }
 
-// finishFenced implements rule 3.
+// finishFenced sends an order to a server that checks fences, and retries it under the same id until
+// the server's answer closes it (3).
 func (c *Controller) finishFenced(ctx context.Context, o *wire.Order, s *fleet.Server) {
 	for c.canContinue(ctx, o) {
 		out, err := c.send(ctx, o, s)
@@ -54,7 +55,9 @@
 	}
 }
 
-// finishUnfenced implements rule 4.
+// finishUnfenced sends an order once, and only if it was issued in this term, to a server that does
+// not check fences. It closes the order if the answer is that a load is done, or else by the state
+// that the server reports once the order cannot arrive any more (4).
 func (c *Controller) finishUnfenced(ctx context.Context, o *wire.Order, s *fleet.Server, issuedHere bool) {
 	if issuedHere {
 		out, err := c.send(ctx, o, s)
--- a/control/pause.go
+++ b/control/pause.go
@@ -28,7 +28,8 @@
 	seen  time.Time
 }
 
-// watchOrders implements rule 2. It is called whether or not the box leads.
+// watchOrders records when this box first saw the last log entry about each server's orders (2). It
+// is called whether or not the box leads.
 func (c *Controller) watchOrders(view *state.State, now time.Time) {
 	c.watchIncarnations(view, now)
 	first := c.lastOrders == nil
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -44,7 +44,8 @@
 	h.size = 0
 }
 
-// readBody implements rules 1 and 13.
+// readBody reads a request body completely (1), within the size limit and the memory that the box has
+// for request bodies (13).
 func readBody(r *http.Request, limits fleet.Limits, reservation *bodyReservation) ([]byte, *reason.Reason) {
 	limit := limits.MaxBody
 	if limit == 0 {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -95,7 +95,9 @@
 	return fleet.AdapterName(p.Model, p.Adapter)
 }
 
-// usable implements rules 4 and 7.
+// usable returns the servers that may be chosen: those in good health, or else draining ones, or else
+// those that failed recently or are unresponsive (4). Servers that were replaced, are down, were
+// tried before, lack the item, or are at their limit or in backoff (7) are left out.
 func (d *directory) usable(list []*server, now time.Time, w criteria) []*server {
 	p, tried := w.prompt, w.tried
 	var good, fallback, draining []*server
@@ -154,7 +156,7 @@
 	})
 }
 
-// lessLoaded implements rule 3.
+// lessLoaded returns the less loaded of two servers drawn at random (3).
 func (d *directory) lessLoaded(list []*server, now time.Time) *server {
 	a, b := list[rand.IntN(len(list))], list[rand.IntN(len(list))]
 	hasIdle := false
@@ -188,7 +190,10 @@
 	return open
 }
 
-// cheapest implements rules 1, 2, 5, 6 and 8.
+// cheapest returns the server with the lowest cost, and the server from which it fetches cached
+// prompt prefixes, if any. The cost includes the prefill time or the fetch, the queue delay, recent
+// stalls (1, 2, 5, 6) and the reported limit (7). Of servers with equal cost a random one is chosen
+// (8).
 func (d *directory) cheapest(list []*server, now time.Time, w criteria) choice {
 	cached := cachedTokensOf(list, w)
 	source := largest(list, cached)
--- a/gateway/job.go
+++ b/gateway/job.go
@@ -234,8 +234,9 @@
 	return &outgoing{method: j.r.Method, target: j.r.RequestURI, host: j.r.Host, header: h, body: j.body, id: j.id}
 }
 
-// setWorkspace implements rule 10. Without workspaces, a header with the name of the key belongs
-// to the caller and is forwarded.
+// setWorkspace removes the workspace key from the headers of an attempt and adds the name of the
+// workspace (10). Without workspaces, a header with the name of the key belongs to the caller and is
+// forwarded.
 func (j *job) setWorkspace(h http.Header) {
 	d := &j.g.opts.Dialect
 	if j.hasWorkspaces {
--- a/gateway/patience.go
+++ b/gateway/patience.go
@@ -78,7 +78,8 @@
 	return loading && time.Until(at) < d && at.Before(j.arrived.Add(j.patience()))
 }
 
-// retryAfterForModel implements rule 3.
+// retryAfterForModel returns the Retry-After for a refused request for a model: the time until the
+// model is expected to be ready, where that is known (3), or else modelRetryAfter, and soon at least.
 func (j *job) retryAfterForModel(refusal *reason.Reason, soon time.Duration) time.Duration {
 	if at, loading := j.readyAt(); loading && refusal == reason.NotResident {
 		return max(soon, time.Until(at))
--- a/gateway/retry.go
+++ b/gateway/retry.go
@@ -139,7 +139,9 @@
 	}
 }
 
-// mayRetry implements rules 2 and 8.
+// mayRetry reports whether a request may be retried after a failed attempt: whether time is left, the
+// route permits it (2), and the request is not a likely crasher. It takes the retry from the budget
+// (8) unless the attempt was never sent.
 func (j *job) mayRetry(f *failure) bool {
 	switch {
 	case j.remaining() < minRemaining:
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// probe implements rule 3.
+// probe opens another connection to the silent server. If the server accepts it, it is not
+// unresponsive, and may be probed again later (3).
 func (w *watch) probe() {
 	if w.conn.pool.probe() != nil {
 		return
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -147,7 +147,8 @@
 	return append(list, named...)
 }
 
-// checkOpen implements rule 3.
+// checkOpen rejects an order if another order is open for the item, or, where the server does not
+// check fences, for the accelerator (3).
 func (inv *Inventory) checkOpen(s *fleet.Server, o *wire.Order) error {
 	loc := OrderLocation(o)
 	for open := range inv.Orders.ByServer(o.Server) {
@@ -187,7 +188,7 @@
 	return inv.checkBase(o)
 }
 
-// checkSlots implements rule 7.
+// checkSlots rejects the load of an adapter if all adapter slots of the accelerator are taken (7).
 func (inv *Inventory) checkSlots(s *fleet.Server, o *wire.Order) error {
 	if o.Item.Adapter == "" || s.Kind.AdapterSlots == 0 {
 		return nil
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -60,7 +60,8 @@
 	p.addDemand(m, 1)
 }
 
-// moveAbove applies rule 7 to moves that save more than rate requests per second (1).
+// moveAbove performs the best moves that are worth their price (7) and save more than rate requests
+// per second (1).
 func (p *planner) moveAbove(rate float64) {
 	if p.in.LeaderFor < cmp.Or(p.in.DemandSettleTime, DefaultDemandSettleTime) {
 		return
--- a/pushback/pushback.go
+++ b/pushback/pushback.go
@@ -142,7 +142,8 @@
 	return report.Draining && r.recordDraining(rec, server, request, now, report.DrainTTL)
 }
 
-// recordDraining implements rule 4. It returns true if the server was not known to be draining before.
+// recordDraining records that a server is draining, for the TTL if there is one, or else for its
+// incarnation (4). It returns true if the server was not known to be draining before.
 func (r *Registry) recordDraining(rec *record, server, request string, now, ttl time.Duration) bool {
 	if ttl > 0 {
 		rec.drainingUntil = now + ttl
@@ -155,7 +156,7 @@
 	return true
 }
 
-// recordBackoff implements rule 1.
+// recordBackoff records the end of a server's backoff, unless a known one ends later (1).
 func (r *Registry) recordBackoff(rec *record, server, request string, now, backoff time.Duration) {
 	until := now + backoff
 	if until <= rec.backoffUntil {
@@ -238,7 +239,9 @@
 	return r.records[server].blockedFor(rank, now)
 }
 
-// blockedFor implements rules 2 and 3.
+// blockedFor reports whether requests of a rank are blocked, and for how long: during the backoff,
+// for a random time after it that grows with the number of boxes, for a time that depends on the
+// rank, and while a probe is under way (2, 3).
 func (rec *record) blockedFor(rank int, now time.Duration) (after time.Duration, blocked bool) {
 	if rec == nil || !rec.inBackoff {
 		return 0, false
--- a/spread/follow.go
+++ b/spread/follow.go
@@ -105,7 +105,7 @@
 	return append(list, box)
 }
 
-// treeParent implements rule 2 for a box without a disk. It returns "" if the member list
+// treeParent returns the parent in the tree of a box without a disk (2), or "" if the member list
 // does not determine a parent. It depends only on the replicated member list, because boxes
 // that do not vote do not know who votes.
 func treeParent(view *state.State, self *wire.Member) string {
@@ -183,7 +183,8 @@
 	return s.recordUpdate(parent, sent, u)
 }
 
-// recordUpdate implements rule 3. A parent without a fresh update counts as failed.
+// recordUpdate records the leader and the time of a fresh update, computed from the update's age
+// (3). A parent without a fresh update counts as failed.
 func (s *Distributor) recordUpdate(parent string, sent time.Duration, u *wire.FollowUpdate) error {
 	age := time.Duration(u.AgeMs) * time.Millisecond
 	at := sent + time.Duration(u.HeldMs)*time.Millisecond - age
@@ -207,7 +208,7 @@
 	return nil
 }
 
-// subtreeReport implements the child's side of rule 4.
+// subtreeReport returns the applied indexes of all boxes below this one, for its parent (4).
 func (s *Distributor) subtreeReport(view *state.State) report {
 	own := s.opts.Replica.ID()
 	others := slices.DeleteFunc(s.Holdings(), func(h *wire.Holding) bool { return h.Member == own })
--- a/spread/inforce.go
+++ b/spread/inforce.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// canAcknowledge implements rules 1 to 3.
+// canAcknowledge reports whether a file may be acknowledged, after waiting for some time and some
+// time after its commit (1, 2, 3).
 func (c coverage) canAcknowledge(waited, sinceCommit time.Duration, timeouts AckTimeouts) bool {
 	majority := c.applied > c.boxes/2
 	return majority && c.missing == 0 || majority && waited >= timeouts.AllBoxes || sinceCommit >= timeouts.Majority
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -199,7 +199,8 @@
 	return e != evidenceNone
 }
 
-// majorityConfirms implements rule 5.1.
+// majorityConfirms reports whether a majority of all boxes are witnesses that answered within the
+// configuration lease, and no box that answered is ahead (5.1).
 func (s *Distributor) majorityConfirms() bool {
 	view := s.opts.Replica.View()
 	s.mu.Lock()
@@ -314,7 +315,8 @@
 	return slices.Clone(s.path)
 }
 
-// recordHoldings implements the parent's side of rule 4.
+// recordHoldings records the applied indexes that a child reports for itself and the boxes below it
+// (4).
 func (s *Distributor) recordHoldings(child string, f *wire.Follow) {
 	now := s.opts.Replica.Now()
 	view := s.opts.Replica.View()
--- a/spread/start.go
+++ b/spread/start.go
@@ -47,7 +47,8 @@
 	voterPositionTTL = time.Second
 )
 
-// votersConfirm implements rule 1.
+// votersConfirm reports whether a majority of the voters answered recently and none has a newer fleet
+// file in its log (1).
 func (s *Distributor) votersConfirm() bool {
 	view := s.opts.Replica.View()
 	positions := s.voterPositions()
@@ -96,7 +97,7 @@
 	return consensus.HaveMajority(logPositions(positions)) && !slices.ContainsFunc(positions, func(p voterPosition) bool { return p.newestFile > file })
 }
 
-// markCommitted implements rule 2.
+// markCommitted marks as committed what a majority of the voters holds in the current term (2).
 func (s *Distributor) markCommitted() {
 	term := s.opts.Replica.Status().Term
 	if index, ok := consensus.CommittedIndex(logPositions(s.voterPositions()), term); ok {
--- a/state/announce.go
+++ b/state/announce.go
@@ -60,7 +60,7 @@
 	return slices.ContainsFunc(s.Announcements.Incarnations(a.Name), func(id string) bool { return id != a.Id && s.Announcements.Get(id).BornMs > a.BornMs })
 }
 
-// endPreviousIncarnations implements rule 5. It returns the index of the last entry about an order to a previous
+// endPreviousIncarnations removes the records of the previous incarnations of a server (5). It returns the index of the last entry about an order to a previous
 // incarnation, and whether such an order was open.
 func (s *State) endPreviousIncarnations(a *wire.Announcement) (ordered uint64, inherited bool) {
 	if a.BornMs == 0 {
@@ -120,7 +120,8 @@
 	return 0
 }
 
-// withdraw implements rules 1 and 2 for servers that deregister.
+// withdraw marks a server that deregisters as draining, for good, or removes its record if no message about it can
+// arrive any more (1, 2).
 func (s *State) withdraw(w *wire.Withdraw) {
 	old := s.Announcements.Get(w.Id)
 	if old == nil {
--- a/state/members.go
+++ b/state/members.go
@@ -60,7 +60,7 @@
 	s.updateEpoch()
 }
 
-// assignIndex implements rule 1.
+// assignIndex assigns a member the lowest free roster index, with the index of the log entry (1).
 func (s *State) assignIndex(m *wire.Member) {
 	entry := &wire.Place{Member: MemberID(m), Since: s.Index}
 	roster := slices.Clone(s.Roster)
@@ -98,7 +98,7 @@
 	}
 }
 
-// updateEpoch implements rule 3.
+// updateEpoch starts a new epoch if the list of claim replicas has changed (3).
 func (s *State) updateEpoch() {
 	var last *wire.Epoch
 	if n := len(s.Epochs); n > 0 {
@@ -113,7 +113,8 @@
 	s.Epochs = s.Epochs[max(0, len(s.Epochs)-maxEpochs):]
 }
 
-// claimReplicas implements rule 2. The list is in the order of the boxes' names.
+// claimReplicas selects the claim replicas: those of the last epoch that are still listed and not draining come first
+// (2). The list is in the order of the boxes' names.
 func (s *State) claimReplicas(last *wire.Epoch) []*wire.Process {
 	halls := map[string]int{} // claim replicas by hall
 	active := 0
--- a/state/state.go
+++ b/state/state.go
@@ -187,7 +187,8 @@
 	return Result{}
 }
 
-// raise implements rule 1 of package level.
+// raise raises the active level, which never decreases (package level, 1). It fails if this build does not support the
+// level.
 func (s *State) raise(to level.Level) Result {
 	if to > level.Newest {
 		return Result{UnknownLevel: Error.New("entry %d raises the level to %v", s.Index, to)}
--- a/workspace/workspace.go
+++ b/workspace/workspace.go
@@ -89,7 +89,7 @@
 	return w, w != nil || public
 }
 
-// lookup implements rule 2.
+// lookup returns the workspace of a key by the key's digest, nil if there is none or the key's length is invalid (2).
 func (r *Registry) lookup(key string) *Workspace {
 	if len(key) == 0 || len(key) > MaxKeyLength {
 		return nil
