--- a/gateway/job.go
+++ b/gateway/job.go
@@ -47,7 +47,7 @@
 	headSent        bool        // the head of the response was forwarded
 	complete        bool        // the response was forwarded in full, to an end that it states
 	responseStarted atomic.Bool // same as headSent, for other goroutines
-	// retryGranted tells that the next attempt was already taken from the budget.
+	// retryGranted is set if the next attempt was already charged to the retry budget.
 	retryGranted   atomic.Bool
 	permit         pushback.Permit // of the latest attempt
 	retryAfter     time.Duration   // time until a server takes the request, where limits or backoff refused it
@@ -234,8 +234,9 @@
 	return &outgoing{method: j.r.Method, target: j.r.RequestURI, host: j.r.Host, header: h, body: j.body, id: j.id}
 }
 
-// setWorkspace implements rule 10. Without workspaces, a header with the name of the key belongs
-// to the caller and is forwarded.
+// setWorkspace removes the workspace key from the headers of an attempt and adds the name of the
+// workspace (10). Without workspaces, a header with the name of the key belongs to the caller and is
+// forwarded.
 func (j *job) setWorkspace(h http.Header) {
 	d := &j.g.opts.Dialect
 	if j.hasWorkspaces {
